--- a/packages/bundle/src/index.ts
+++ b/packages/bundle/src/index.ts
@@ -6,8 +6,6 @@
 export {findFaults} from './find-faults.js';
 export {hashApiKey} from './hash-api-key.js';
 export {signText} from './sign-text.js';
-export type {Signature} from './signature.js';
 export {signedBundleSchema} from './signed-bundle-schema.js';
 export type {SignedBundle} from './signed-bundle.js';
 export type {TrustedKey} from './trusted-key.js';
-export {verifySignature} from './verify-signature.js';
--- a/packages/cli/src/commands.ts
+++ b/packages/cli/src/commands.ts
@@ -12,7 +12,11 @@
 import {keyNew} from './commands/key-new.js';
 import {requestExplain} from './commands/request-explain.js';
 
-/** All commands, by the words that call them. oclif reads this. */
+/**
+All commands, by the words that call them. oclif reads this.
+
+@public
+*/
 export const commands = {
 	'api-key:new': apiKeyNew,
 	'budget:create': budgetCreate,
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,11 +1,8 @@
 export {assertInvariant} from './assert-invariant.js';
 export type {Clock} from './clock.js';
 export {fail} from './fail.js';
-export type {Failed} from './failed.js';
 export {firstByRendezvous} from './first-by-rendezvous.js';
 export {hash32} from './hash32.js';
-export {InvariantError} from './invariant-error.js';
-export type {Ok} from './ok.js';
 export type {Outcome} from './outcome.js';
 export {parseJson} from './parse-json.js';
 export {prefixBlocks} from './prefix-blocks.js';
--- a/packages/entry/src/bounds.ts
+++ b/packages/entry/src/bounds.ts
@@ -3,8 +3,6 @@
 	/** Repeats that a service may get for each request of the window. */
 	readonly retryRatio: number;
 	readonly retryWindowMs: number;
-	/** Repeats in the window beyond the ratio, of all hosts together. */
-	readonly retrySlack: number;
 	/** How late an event of a stream may be passed on, in ms. */
 	readonly relayMs: number;
 	/** From the signal to stop until the process is killed, in ms. */
--- a/packages/entry/src/header-names.ts
+++ b/packages/entry/src/header-names.ts
@@ -13,7 +13,6 @@
 	readonly expectedEndpoint: string;
 	readonly tokenCount: string;
 	readonly prefix: string;
-	readonly urgency: string;
 	readonly lastEventId: string;
 	/** Headers that callers may not set. */
 	readonly reserved: readonly string[];
--- a/packages/entry/src/lib/create-endpoint-chooser.ts
+++ b/packages/entry/src/lib/create-endpoint-chooser.ts
@@ -71,7 +71,7 @@
 			}
 
 			beliefs.note(choice.endpoint, parts);
-			return {endpoint: byId.get(choice.endpoint)!, reason: choice.reason, hasRoom: choice.hasRoom};
+			return {endpoint: byId.get(choice.endpoint)!, reason: choice.reason};
 		},
 		note(event) {
 			table = stepEndpoints(table, event, now());
--- a/packages/entry/src/lib/prepare-rights.ts
+++ b/packages/entry/src/lib/prepare-rights.ts
@@ -1,7 +1,7 @@
 import type {BudgetRights, HolderRights, RightsObject} from '@deckwheel/ledger';
 
 /** The holder that stands for hosts' lives that have ended. What they held stays spent. */
-export const retiredHolder = 'retired';
+const retiredHolder = 'retired';
 
 type Inputs = {
 	readonly host: string;
--- a/packages/entry/src/test/lib/header-names.ts
+++ b/packages/entry/src/test/lib/header-names.ts
@@ -11,7 +11,6 @@
 	expectedEndpoint: 'x-endpoint',
 	tokenCount: 'x-tokens',
 	prefix: 'x-prefix',
-	urgency: 'x-urgency',
 	lastEventId: 'last-event-id',
 	reserved: ['x-reserved'],
 };
--- a/packages/entry/src/test/lib/start-host.ts
+++ b/packages/entry/src/test/lib/start-host.ts
@@ -53,7 +53,7 @@
 		hall: 'hall-a',
 		listen: {callers: anyPort, ready: anyPort, peers: anyPort},
 		bounds: {
-			retryRatio: 1, retryWindowMs: 10_000, retrySlack: 0, relayMs: 60_000, stopGraceMs: 20_000,
+			retryRatio: 1, retryWindowMs: 10_000, relayMs: 60_000, stopGraceMs: 20_000,
 		},
 		headers: headerNames,
 		rightsStore,
--- a/packages/entry/src/test/step-retry-window.test.ts
+++ b/packages/entry/src/test/step-retry-window.test.ts
@@ -4,7 +4,7 @@
 import {stepRetryWindow} from '../lib/step-retry-window.js';
 
 const bounds: Bounds = {
-	retryRatio: 0.2, retryWindowMs: 10_000, retrySlack: 50, relayMs: 120, stopGraceMs: 8000,
+	retryRatio: 0.2, retryWindowMs: 10_000, relayMs: 120, stopGraceMs: 8000,
 };
 
 /** Plays requests and attempts at repeats, at even times, and tells the times of the repeats that were allowed. */
--- a/packages/mesh/src/index.ts
+++ b/packages/mesh/src/index.ts
@@ -1,7 +1,5 @@
 export type {Identity} from './identity.js';
 export type {LinkError} from './link-error.js';
 export type {MeshHandlers} from './mesh-handlers.js';
-export type {MeshOptions} from './mesh-options.js';
 export type {Mesh} from './mesh.js';
 export {openMesh} from './open-mesh.js';
-export type {Peer} from './peer.js';
--- a/packages/routing/src/choose-endpoint.ts
+++ b/packages/routing/src/choose-endpoint.ts
@@ -39,6 +39,6 @@
 	}
 
 	return best && {
-		endpoint: best.endpoint, reason: best.reason(), waitMs: best.waitMs, hasRoom: best.hasRoom,
+		endpoint: best.endpoint, reason: best.reason(), hasRoom: best.hasRoom,
 	};
 };
--- a/packages/routing/src/rate-by-affinity.ts
+++ b/packages/routing/src/rate-by-affinity.ts
@@ -30,7 +30,6 @@
 	const hallMs = hallCost(info.hall, request);
 	return {
 		endpoint: info.id,
-		waitMs,
 		cost: readMs + waitMs + hallMs,
 		hasRoom: load < info.slots && hallMs < avoidedHallMs,
 		reason: () => `read_ms=${readMs.toFixed(0)} load=${load} cached=${cached}/${request.promptTokens} hall_ms=${hallMs}`,
--- a/packages/routing/src/rate-by-cost.ts
+++ b/packages/routing/src/rate-by-cost.ts
@@ -32,7 +32,6 @@
 	const cost = waitMs + prefillMs + hallMs + moveMs + fillMs + msPerToken;
 	return {
 		endpoint: info.id,
-		waitMs,
 		cost,
 		hasRoom: load < roomFor(info.slots, request),
 		reason: () => `cost_ms=${cost.toFixed(1)} wait_ms=${waitMs.toFixed(1)} load=${load}/${info.slots} cached=${cached}/${request.promptTokens} hall_ms=${hallMs} move_ms=${moveMs}`,
--- a/packages/routing/src/rate-by-in-flight.ts
+++ b/packages/routing/src/rate-by-in-flight.ts
@@ -3,7 +3,6 @@
 /** Least in flight: whoever has the fewest open requests of this host. A baseline; it lets endpoints queue without bound. */
 export const rateByInFlight: RateEndpoint = ({info, inFlight}) => ({
 	endpoint: info.id,
-	waitMs: 0,
 	cost: inFlight,
 	hasRoom: true,
 	reason: () => `in_flight=${inFlight}`,
--- a/packages/routing/src/rate-by-turn.ts
+++ b/packages/routing/src/rate-by-turn.ts
@@ -3,7 +3,6 @@
 /** Round robin: whoever had the fewest requests is next. A baseline; it lets endpoints queue without bound. */
 export const rateByTurn: RateEndpoint = ({info, started}) => ({
 	endpoint: info.id,
-	waitMs: 0,
 	cost: started,
 	hasRoom: true,
 	reason: () => `turn=${started}`,
--- a/packages/routing/src/route-choice.ts
+++ b/packages/routing/src/route-choice.ts
@@ -3,8 +3,6 @@
 	readonly endpoint: string;
 	/** One line of key=value pairs, for logs and `deckwheel explain`. */
 	readonly reason: string;
-	/** How long the request is expected to wait there before it starts, in ms. */
-	readonly waitMs: number;
 	/** Whether the endpoint can take it now; if not, the request should wait at this host. */
 	readonly hasRoom: boolean;
 };
