--- a/packages/bundle/src/check-bundle.ts
+++ b/packages/bundle/src/check-bundle.ts
@@ -1,8 +1,8 @@
-import {fail, succeed, type Outcome} from '@deckwheel/core';
+import {
+	fail, succeed, type Outcome, type Fault, findFaults,
+} from '@deckwheel/core';
 import {bundleSchema} from './bundle-schema.js';
 import type {Bundle} from './bundle.js';
-import type {Fault} from './fault.js';
-import {findFaults} from './find-faults.js';
 
 const duplicates = (name: string, ids: readonly string[]): readonly Fault[] =>
 	ids
--- a/packages/bundle/src/index.ts
+++ b/packages/bundle/src/index.ts
@@ -2,8 +2,6 @@
 export type {AdoptedBundle} from './adopted-bundle.js';
 export type {Bundle} from './bundle.js';
 export {checkBundle} from './check-bundle.js';
-export type {Fault} from './fault.js';
-export {findFaults} from './find-faults.js';
 export {hashApiKey} from './hash-api-key.js';
 export {signText} from './sign-text.js';
 export {signedBundleSchema} from './signed-bundle-schema.js';
--- a/packages/cli/src/lib/read-config.ts
+++ b/packages/cli/src/lib/read-config.ts
@@ -1,6 +1,7 @@
 import {readFile} from 'node:fs/promises';
-import {findFaults, type Fault} from '@deckwheel/bundle';
-import {fail, succeed, type Outcome} from '@deckwheel/core';
+import {
+	findFaults, type Fault, fail, succeed, type Outcome,
+} from '@deckwheel/core';
 import {z} from 'zod';
 import type {ToolConfig} from './tool-config.js';
 
--- /dev/null
+++ b/packages/core/src/find-faults.ts
@@ -0,0 +1,10 @@
+import type {Fault} from './fault.js';
+
+/** What a zod error tells, as far as it is read here. */
+type SchemaError = {
+	readonly issues: ReadonlyArray<{readonly path: readonly PropertyKey[]; readonly message: string}>;
+};
+
+/** All faults that a schema found, each named by its path. */
+export const findFaults = ({issues}: SchemaError): readonly Fault[] =>
+	issues.map(({path, message}) => ({path: path.length === 0 ? '(document)' : path.join('.'), message}));
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,6 +1,8 @@
 export {assertInvariant} from './assert-invariant.js';
 export type {Clock} from './clock.js';
 export {fail} from './fail.js';
+export type {Fault} from './fault.js';
+export {findFaults} from './find-faults.js';
 export {firstByRendezvous} from './first-by-rendezvous.js';
 export {hash32} from './hash32.js';
 export type {Outcome} from './outcome.js';
@@ -9,6 +11,7 @@
 export {rankByRendezvous} from './rank-by-rendezvous.js';
 export type {Refusal} from './refusal.js';
 export type {RefusalCode} from './refusal-code.js';
+export {refusalBody} from './refusal-body.js';
 export type {RunState} from './run-state.js';
 export {splitAddress} from './split-address.js';
 export {succeed} from './succeed.js';
--- a/packages/daemon/src/lib/gateway/error-body.ts
+++ b/packages/core/src/refusal-body.ts
@@ -1,7 +1,7 @@
-import type {Refusal} from '@deckwheel/core';
+import type {Refusal} from './refusal.js';
 
 /** A refusal as callers see it. */
-type ErrorBody = {
+type RefusalBody = {
 	readonly error: {
 		readonly code: string;
 		readonly message: string;
@@ -10,8 +10,8 @@
 	};
 };
 
-/** Translates a refusal for callers. */
-export const errorBody = ({code, message, ran, retryAfterSeconds}: Refusal): ErrorBody => ({
+/** Translates a refusal for callers. The body is the same from every program. */
+export const refusalBody = ({code, message, ran, retryAfterSeconds}: Refusal<string>): RefusalBody => ({
 	error: {
 		code, message, ran, retry_after_seconds: retryAfterSeconds,
 	},
--- a/packages/daemon/src/lib/context.ts
+++ b/packages/daemon/src/lib/context.ts
@@ -1,7 +1,7 @@
 import type {Clock} from '@deckwheel/core';
 import type {Platform} from '@deckwheel/store-client';
-import type {Settings} from '../settings.js';
-import type {Log} from './log.js';
+import type {Settings} from '../daemon-settings.js';
+import type {Log} from './leveled-log.js';
 import type {Metrics} from './metrics.js';
 import type {Tracing} from './tracing.js';
 
--- a/packages/daemon/src/lib/create-log.ts
+++ b/packages/daemon/src/lib/create-log.ts
@@ -1,22 +1,15 @@
+import {formatLogLine, type LogFields} from '@deckwheel/host-kit';
 import winston from 'winston';
-import type {LogFields} from './log-fields.js';
-import type {Log} from './log.js';
+import type {Log} from './leveled-log.js';
 
-const quote = (value: string | number | boolean): string => {
-	const text = String(value);
-	return /^[\w.:/#~@+-]+$/.test(text) ? text : JSON.stringify(text);
-};
-
-const toLine = (fields: LogFields): string =>
-	Object.entries(fields)
-		.filter(([, value]) => value !== undefined)
-		.map(([key, value]) => `${key}=${quote(value!)}`)
-		.join(' ');
+/**
+Creates the log of `deckwheeld`: one line of key=value pairs an event, on standard output, by winston.
 
-/** Creates the log: one line of key=value pairs an event, on standard output. */
+The entry host on a platform writes the same form of lines without winston (`createLineLog` in host-kit says why).
+*/
 export const createLog = (level: string, common: LogFields): Log => {
 	const line = winston.format.printf(({level: lineLevel, message, timestamp, ...fields}) =>
-		toLine({
+		formatLogLine({
 			time: String(timestamp), level: lineLevel, event: String(message), ...fields as LogFields,
 		}));
 	const logger = winston.createLogger({
--- a/packages/daemon/src/lib/create-metrics.ts
+++ b/packages/daemon/src/lib/create-metrics.ts
@@ -1,5 +1,5 @@
 import {StatsD} from 'hot-shots';
-import type {Settings} from '../settings.js';
+import type {Settings} from '../daemon-settings.js';
 import type {Metrics} from './metrics.js';
 
 /** Creates the metrics client. Without an address it counts nothing. */
--- a/packages/daemon/src/lib/gateway/relay-live-stream.ts
+++ b/packages/daemon/src/lib/gateway/relay-live-stream.ts
@@ -1,8 +1,7 @@
 import {once} from 'node:events';
-import type {Refusal} from '@deckwheel/core';
+import {type Refusal, refusalBody} from '@deckwheel/core';
 import type {Context as KoaContext} from 'koa';
 import type {LiveStream} from '../live-stream.js';
-import {errorBody} from './error-body.js';
 
 const eventNumber = (event: string): number => Number(/^id: (?<id>\d+)$/m.exec(event)?.groups?.id ?? Infinity);
 
@@ -45,7 +44,7 @@
 	}
 
 	if (refusal) {
-		res.write(`event: error\ndata: ${JSON.stringify(errorBody(refusal))}\n\n`);
+		res.write(`event: error\ndata: ${JSON.stringify(refusalBody(refusal))}\n\n`);
 	}
 
 	res.end();
--- a/packages/daemon/src/lib/log.ts
+++ b/packages/daemon/src/lib/leveled-log.ts
@@ -1,4 +1,4 @@
-import type {LogFields} from './log-fields.js';
+import type {LogFields} from '@deckwheel/host-kit';
 
 /** Writes one line for an event. */
 export type Log = (level: 'error' | 'warn' | 'info' | 'debug', event: string, fields?: LogFields) => void;
--- a/packages/daemon/src/lib/listen.ts
+++ b/packages/daemon/src/lib/serve-app.ts
@@ -1,16 +1,18 @@
-import {once} from 'node:events';
 import {createServer, type Server} from 'node:http';
 import type {AddressInfo} from 'node:net';
+import {listenAt} from '@deckwheel/host-kit';
 import type Koa from 'koa';
 
+/** A sender whose header is not whole by then is cut off, in ms. Chosen without a measurement. */
 const headersTimeoutMs = 10_000;
+
+/** A sender whose request is not whole by then is cut off, in ms. Chosen without a measurement. */
 const requestTimeoutMs = 30_000;
 
 /** Serves a Koa application. A sender that is too slow with its request is cut off. */
-export const listen = async (app: Koa, {ip, port}: {readonly ip: string; readonly port: number}): Promise<{readonly server: Server; readonly port: number}> => {
+export const serveApp = async (app: Koa, {ip, port}: {readonly ip: string; readonly port: number}): Promise<{readonly server: Server; readonly port: number}> => {
 	app.silent = true;
 	const server = createServer({headersTimeout: headersTimeoutMs, requestTimeout: requestTimeoutMs}, app.callback());
-	server.listen(port, ip);
-	await once(server, 'listening');
+	await listenAt(server, `${ip}:${port}`);
 	return {server, port: (server.address() as AddressInfo).port};
 };
--- a/packages/daemon/src/lib/start-gateway.ts
+++ b/packages/daemon/src/lib/start-gateway.ts
@@ -2,7 +2,7 @@
 import {context as traceContext, propagation, SpanStatusCode} from '@opentelemetry/api';
 import Router from '@koa/router';
 import type {AdoptedBundle} from '@deckwheel/bundle';
-import type {Refusal} from '@deckwheel/core';
+import {type Refusal, refusalBody} from '@deckwheel/core';
 import Koa, {type Context as KoaContext, type Next} from 'koa';
 import type {Context} from './context.js';
 import {findCaller} from './find-caller.js';
@@ -10,14 +10,13 @@
 import {createChatWork} from './gateway/create-chat-work.js';
 import {createOpenRequests} from './gateway/create-open-requests.js';
 import {createServiceWork} from './gateway/create-service-work.js';
-import {errorBody} from './gateway/error-body.js';
 import {gatewayRefusals} from './gateway/gateway-refusals.js';
 import type {Visit} from './gateway/visit.js';
 import type {Work} from './gateway/work.js';
 import type {Gateway} from './gateway.js';
 import {issueKey} from './issue-key.js';
-import {listen} from './listen.js';
-import {readBody} from './read-body.js';
+import {serveApp} from './serve-app.js';
+import {readTextBody} from './read-text-body.js';
 import {readRequestOptions} from './read-request-options.js';
 import type {RunJob} from './run-job.js';
 import {statusOfRefusal} from './status-of-refusal.js';
@@ -41,7 +40,7 @@
 			ctx.set('Retry-After', String(refusal.retryAfterSeconds));
 		}
 
-		ctx.body = errorBody(refusal);
+		ctx.body = refusalBody(refusal);
 		metrics.count('request.refused', {code: refusal.code});
 	};
 
@@ -63,7 +62,7 @@
 			return options.error;
 		}
 
-		const body = await readBody(ctx, adopted.bundle.limits.maxBodyBytes);
+		const body = await readTextBody(ctx, adopted.bundle.limits.maxBodyBytes);
 		return body.ok
 			? {
 				adopted, caller, options: options.value, body: body.value,
@@ -164,7 +163,7 @@
 
 	const app = new Koa();
 	app.use(router.routes());
-	const {server, port} = await listen(app, settings.listen.callers);
+	const {server, port} = await serveApp(app, settings.listen.callers);
 	return {
 		port,
 		open: openRequests.count,
--- a/packages/daemon/src/lib/start-operators.ts
+++ b/packages/daemon/src/lib/start-operators.ts
@@ -9,7 +9,7 @@
 import type {BundleTask} from './bundle-task.js';
 import type {Context} from './context.js';
 import type {Gateway} from './gateway.js';
-import {listen} from './listen.js';
+import {serveApp} from './serve-app.js';
 import type {MembershipTask} from './membership-task.js';
 import {readKey} from './read-key.js';
 import type {RouterTask} from './router-task.js';
@@ -124,7 +124,7 @@
 
 	const app = new Koa();
 	app.use(routes.routes());
-	const {server, port} = await listen(app, settings.listen.operators);
+	const {server, port} = await serveApp(app, settings.listen.operators);
 	return {
 		port,
 		async close() {
--- a/packages/daemon/src/start-daemon.ts
+++ b/packages/daemon/src/start-daemon.ts
@@ -30,7 +30,7 @@
 import {startRouter} from './lib/start-router.js';
 import {startSlots} from './lib/start-slots.js';
 import type {Daemon} from './daemon.js';
-import type {Settings} from './settings.js';
+import type {Settings} from './daemon-settings.js';
 
 const noPartners: ReadonlySet<string> = new Set();
 const fetchTimeoutMs = 2000;
--- a/packages/entry/src/start-entry.ts
+++ b/packages/entry/src/start-entry.ts
@@ -1,5 +1,6 @@
 import {createServer, type Server} from 'node:http';
 import {performance} from 'node:perf_hooks';
+import {listenAt} from '@deckwheel/host-kit';
 import {defaultPatience} from './default-patience.js';
 import type {EntryOptions} from './entry-options.js';
 import type {Entry} from './entry.js';
@@ -11,7 +12,6 @@
 import {createNews} from './lib/create-news.js';
 import {createRightsKeeper} from './lib/create-rights-keeper.js';
 import type {EntryContext} from './lib/entry-context.js';
-import {listenAt} from './lib/listen-at.js';
 import type {RetryWindow} from './lib/retry-window.js';
 import {scheduleByTimer} from './lib/schedule-by-timer.js';
 import {serveRequest} from './lib/serve-request.js';
--- /dev/null
+++ b/packages/host-kit/src/index.ts
@@ -0,0 +1,5 @@
+export {createLineLog} from './create-line-log.js';
+export {formatLogLine} from './format-log-line.js';
+export {listenAt} from './listen-at.js';
+export type {LogFields} from './log-fields.js';
+export {readSettings} from './read-settings.js';
--- a/packages/stand-ins/src/start-engine.ts
+++ b/packages/stand-ins/src/start-engine.ts
@@ -6,7 +6,7 @@
 import {LRUCache} from 'lru-cache';
 import type {EngineFaults} from './lib/engine-faults.js';
 import type {EngineStream} from './lib/engine-stream.js';
-import {listen} from './lib/listen.js';
+import {serveStandIn} from './lib/serve-stand-in.js';
 import {readJson} from './lib/read-json.js';
 import type {EngineOptions} from './engine-options.js';
 import type {RunningStandIn} from './running-stand-in.js';
@@ -225,7 +225,7 @@
 	const app = new Koa();
 	app.use(control.routes());
 	app.use(router.routes());
-	const standIn = await listen(app, port);
+	const standIn = await serveStandIn(app, port);
 	return {
 		url: standIn.url,
 		async close() {
--- a/packages/stand-ins/src/start-service.ts
+++ b/packages/stand-ins/src/start-service.ts
@@ -2,7 +2,7 @@
 import Router from '@koa/router';
 import Koa from 'koa';
 import getRawBody from 'raw-body';
-import {listen} from './lib/listen.js';
+import {serveStandIn} from './lib/serve-stand-in.js';
 import {readJson} from './lib/read-json.js';
 import type {RunningStandIn} from './running-stand-in.js';
 
@@ -44,5 +44,5 @@
 			key, method: ctx.method, path: ctx.path, echo: body,
 		};
 	});
-	return listen(app, port);
+	return serveStandIn(app, port);
 };
--- a/packages/stand-ins/src/start-store.ts
+++ b/packages/stand-ins/src/start-store.ts
@@ -3,7 +3,7 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import Router from '@koa/router';
 import Koa, {type Context, type Next} from 'koa';
-import {listen} from './lib/listen.js';
+import {serveStandIn} from './lib/serve-stand-in.js';
 import {readJson} from './lib/read-json.js';
 import type {StoreFaults} from './lib/store-faults.js';
 import type {RunningStandIn} from './running-stand-in.js';
@@ -158,5 +158,5 @@
 	const app = new Koa();
 	app.use(control.routes());
 	app.use(data.routes());
-	return listen(app, port);
+	return serveStandIn(app, port);
 };
