--- a/packages/daemon/src/lib/start-drawer.ts
+++ b/packages/daemon/src/lib/start-drawer.ts
@@ -1,5 +1,5 @@
 import {
-	accountOf, available, emptyLedger, holdAheadByShare, planDraw, surplus, transferred, viewStore, type DrawRequest, type HoldAhead, type RightsObject, type StoreView,
+	accountOf, available, drawAmount, emptyLedger, holdAheadByShare, planDraw, surplus, transferred, viewStore, type DrawRequest, type HoldAhead, type RightsObject, type StoreView,
 } from '@deckwheel/ledger';
 import type {Bundle} from '@deckwheel/bundle';
 import type {StoreError} from '@deckwheel/store-client';
@@ -79,8 +79,8 @@
 			const {granted, settled, billed} = account;
 			const missing = needs.get(budget) ?? 0;
 			const wants = (store: StoreView): number =>
-				policy()({
-					tokensPerSecond: meter.rate(budget), available: available(account), missing, halls: hallCount(), ...store,
+				drawAmount({
+					target: policy()({tokensPerSecond: meter.rate(budget), holders: hallCount(), ...store}), available: available(account), missing,
 				});
 			return {
 				budget, granted, transferred: transferred(account), rate: meter.rate(budget), settled, billed, wants,
@@ -101,7 +101,7 @@
 			const tokensPerSecond = meter.rate(budget);
 			const store = viewStore(record, ledger.holder, tokensPerSecond);
 			const amount = surplus({
-				account, store, holdAhead: policy(), tokensPerSecond, halls: hallCount(),
+				account, store, holdAhead: policy(), tokensPerSecond, holders: hallCount(),
 			});
 			return amount > 0 ? [{budget, amount}] : [];
 		});
--- a/packages/daemon/src/lib/start-router.ts
+++ b/packages/daemon/src/lib/start-router.ts
@@ -5,7 +5,7 @@
 } from '@deckwheel/core';
 import {
 	chooseEndpoint, emptyWaitingRoom, enterWaitingRoom, expireWaitingRoom, leaveWaitingRoom, rateByCost, rateByInFlight, rateByTurn, retryAfter, stepEndpoints, stepRetryBudget,
-	type EndpointEvent, type EndpointTable, type Priority, type RetryBudget, type RouteChoice, type WaitingRequest, type WaitingRoom,
+	type CostRequest, type EndpointChoice, type EndpointEvent, type EndpointTable, type Priority, type RateEndpoint, type RetryBudget, type WaitingRequest, type WaitingRoom,
 } from '@deckwheel/routing';
 import got from 'got';
 import {LRUCache} from 'lru-cache';
@@ -34,7 +34,8 @@
 const loadSchema = z.object({running: z.number(), queued: z.number(), isLeaving: z.boolean().optional()});
 const cacheEventsSchema = z.object({next: z.number(), blocks: z.array(z.number())});
 
-const ratings = {cost: rateByCost, round_robin: rateByTurn, least_in_flight: rateByInFlight} as const;
+/** The policies that the setting `routing` names. The last two are baselines. */
+const ratings: Readonly<Record<'cost' | 'round_robin' | 'least_in_flight', RateEndpoint<CostRequest>>> = {cost: rateByCost, round_robin: rateByTurn, least_in_flight: rateByInFlight};
 
 type Waiter = {
 	readonly req: PlaceRequest;
@@ -68,11 +69,10 @@
 		}
 	};
 
-	const choose = (request: PlaceRequest): RouteChoice | undefined => chooseEndpoint(table, {
+	const choose = (request: PlaceRequest): EndpointChoice | undefined => chooseEndpoint(table, {
 		target: request.target,
 		hall: settings.hall,
 		priority: request.priority,
-		deadline: request.deadline,
 		cachedTokens: endpoint => beliefs.cachedTokens(endpoint, request.prefixBlocks),
 		promptTokens: request.promptTokens,
 		quickShare,
@@ -87,7 +87,7 @@
 		quickShare += weight * ((priority === 'quick' ? 1 : 0) - quickShare);
 	};
 
-	const take = (request: PlaceRequest, {endpoint, reason}: RouteChoice): Place => {
+	const take = (request: PlaceRequest, {endpoint, reason}: EndpointChoice): Place => {
 		const startedAt = clock.monotonic();
 		step({type: 'started', endpoint});
 		beliefs.note(endpoint, request.prefixBlocks);
--- a/packages/entry/src/lib/create-accounts.ts
+++ b/packages/entry/src/lib/create-accounts.ts
@@ -1,5 +1,5 @@
+import {available as availableOf} from '@deckwheel/ledger';
 import type {Accounts} from './accounts.js';
-import {availableRights} from './available-rights.js';
 import {emptyHostAccount} from './empty-host-account.js';
 import type {HostAccount} from './host-account.js';
 import {stepAccount} from './step-account.js';
@@ -8,7 +8,7 @@
 export const createAccounts = (): Accounts => {
 	const accounts = new Map<string, HostAccount>();
 	const of: Accounts['of'] = budget => accounts.get(budget) ?? emptyHostAccount;
-	const available: Accounts['available'] = budget => availableRights(of(budget));
+	const available: Accounts['available'] = budget => availableOf(of(budget));
 	const step: Accounts['step'] = (budget, event) => {
 		accounts.set(budget, stepAccount(of(budget), event));
 	};
--- a/packages/entry/src/lib/create-endpoint-chooser.ts
+++ b/packages/entry/src/lib/create-endpoint-chooser.ts
@@ -57,9 +57,6 @@
 			const choice = chooseEndpoint(table, {
 				target: service,
 				hall,
-				priority: 'normal',
-				deadline: 0,
-				quickShare: 0,
 				cachedTokens: endpoint => beliefs.cachedTokens(endpoint, parts, home),
 				promptTokens: parts.reduce((sum, {tokens}) => sum + tokens, 0),
 				lostHalls: new Set(halls.filter(name => isLost(name))),
--- a/packages/entry/src/lib/create-rights-keeper.ts
+++ b/packages/entry/src/lib/create-rights-keeper.ts
@@ -1,5 +1,5 @@
 import {
-	holdAheadByRate, slotOfBudget, viewStore, type BudgetRights, type HolderRights, type StoreView,
+	drawAmount, holdAheadByRate, slotOfBudget, viewStore, type BudgetRights, type HolderRights, type StoreView,
 } from '@deckwheel/ledger';
 import type {ListedPeer} from '../listed-peer.js';
 import type {Log} from '../log.js';
@@ -67,13 +67,15 @@
 
 	const wants = (budget: string) => (view: StoreView, rights: BudgetRights): number => isRetiring
 		? 0
-		: holdAhead({
-			...view,
-			remaining: viewRights(rights, holder, 0).remaining,
-			tokensPerSecond: demandRate(accounts.of(budget)),
+		: drawAmount({
+			target: holdAhead({
+				...view,
+				remaining: viewRights(rights, holder, 0).remaining,
+				tokensPerSecond: demandRate(accounts.of(budget)),
+				holders: holdersOf(rights, holder),
+			}),
 			available: accounts.available(budget),
 			missing: queue.missing(budget),
-			halls: holdersOf(rights, holder),
 		});
 
 	const writer = createSlotWriter({
--- a/packages/entry/src/lib/create-slot-writer.ts
+++ b/packages/entry/src/lib/create-slot-writer.ts
@@ -1,6 +1,6 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {
-	planDraw, slotOfBudget, type BudgetRights, type DrawRequest, type StoreView,
+	planDraw, slotOfBudget, type BudgetRights, type DrawRequest, type StoreView, transferred,
 } from '@deckwheel/ledger';
 import type {Log} from '../log.js';
 import type {RightsStore} from '../rights-store.js';
@@ -12,7 +12,6 @@
 import {slotCount} from './slot-count.js';
 import type {SlotWriter} from './slot-writer.js';
 import type {StoreState} from './store-state.js';
-import {transferredRights} from './transferred-rights.js';
 
 const maxConflicts = 8;
 
@@ -87,7 +86,7 @@
 		return {
 			budget,
 			granted: account.granted,
-			transferred: transferredRights(account),
+			transferred: transferred(account),
 			settled: account.settled,
 			rate: demandRate(account),
 			billed: account.settled,
--- a/packages/entry/src/lib/plan-rights.ts
+++ b/packages/entry/src/lib/plan-rights.ts
@@ -1,5 +1,4 @@
-import type {HoldAhead, StoreView} from '@deckwheel/ledger';
-import {availableRights} from './available-rights.js';
+import {type HoldAhead, type StoreView, available} from '@deckwheel/ledger';
 import {demandRate} from './demand-rate.js';
 import type {HostAccount} from './host-account.js';
 
@@ -32,18 +31,16 @@
 
 /** Decides whether a host's rights on a budget should grow or shrink. */
 export const planRights = ({account, store, holders, holdAhead, isOverGranted, isStoreUp}: Inputs): RightsPlan => {
-	const available = availableRights(account);
+	const free = available(account);
 	if (isOverGranted) {
-		return available > 0 ? {type: 'give_back', tokens: available} : {type: 'keep'};
+		return free > 0 ? {type: 'give_back', tokens: free} : {type: 'keep'};
 	}
 
-	const target = holdAhead({
-		...store, tokensPerSecond: demandRate(account), available: 0, missing: 0, halls: holders,
-	});
-	if (available < target * refillBelow && store.unallocated > 0) {
+	const target = holdAhead({...store, tokensPerSecond: demandRate(account), holders});
+	if (free < target * refillBelow && store.unallocated > 0) {
 		return {type: 'draw'};
 	}
 
-	const surplus = Math.floor(available - target);
-	return isStoreUp && available > target * giveBackAbove && surplus > keepTokens ? {type: 'give_back', tokens: surplus} : {type: 'keep'};
+	const surplus = Math.floor(free - target);
+	return isStoreUp && free > target * giveBackAbove && surplus > keepTokens ? {type: 'give_back', tokens: surplus} : {type: 'keep'};
 };
--- a/packages/entry/src/lib/step-account.ts
+++ b/packages/entry/src/lib/step-account.ts
@@ -1,5 +1,5 @@
+import {available} from '@deckwheel/ledger';
 import type {AccountEvent} from './account-event.js';
-import {availableRights} from './available-rights.js';
 import type {HostAccount} from './host-account.js';
 import {rateMemorySeconds} from './rate-memory-seconds.js';
 
@@ -7,7 +7,7 @@
 const negligibleRate = 1;
 
 const give = (account: HostAccount, {to, tokens, share}: AccountEvent & {type: 'lent'}): HostAccount => {
-	const lent = Math.max(0, Math.min(Math.ceil(tokens), Math.floor(availableRights(account) * share)));
+	const lent = Math.max(0, Math.min(Math.ceil(tokens), Math.floor(available(account) * share)));
 	return lent === 0 ? account : {...account, given: new Map(account.given).set(to, (account.given.get(to) ?? 0) + lent)};
 };
 
--- a/packages/entry/src/start-entry.ts
+++ b/packages/entry/src/start-entry.ts
@@ -1,6 +1,7 @@
 import {createServer, type Server} from 'node:http';
 import {performance} from 'node:perf_hooks';
 import {listenAt} from '@deckwheel/host-kit';
+import {stepRetryWindow, type RetryWindow} from '@deckwheel/routing';
 import {defaultPatience} from './default-patience.js';
 import type {EntryOptions} from './entry-options.js';
 import type {Entry} from './entry.js';
@@ -12,14 +13,12 @@
 import {createNews} from './lib/create-news.js';
 import {createRightsKeeper} from './lib/create-rights-keeper.js';
 import type {EntryContext} from './lib/entry-context.js';
-import type {RetryWindow} from './lib/retry-window.js';
 import {scheduleByTimer} from './lib/schedule-by-timer.js';
 import {serveRequest} from './lib/serve-request.js';
 import {probeAddress} from './lib/probe-address.js';
 import {startHallWatch} from './lib/start-hall-watch.js';
 import {startLatenessWatch} from './lib/start-lateness-watch.js';
 import {startPeerLinks} from './lib/start-peer-links.js';
-import {stepRetryWindow} from './lib/step-retry-window.js';
 
 /** Callers' heads are bounded here once; the configuration's own bound is lower. */
 const maxHeaderBytes = 65_536;
--- a/packages/entry/src/test/create-lenders.test.ts
+++ b/packages/entry/src/test/create-lenders.test.ts
@@ -1,12 +1,12 @@
 import test from 'ava';
 import {fail, succeed} from '@deckwheel/core';
 import type {LinkError, Mesh} from '@deckwheel/mesh';
+import {transferred} from '@deckwheel/ledger';
 import {defaultPatience} from '../default-patience.js';
 import type {ListedPeer} from '../listed-peer.js';
 import {createLenders} from '../lib/create-lenders.js';
 import {emptyHostAccount} from '../lib/empty-host-account.js';
 import {stepAccount} from '../lib/step-account.js';
-import {transferredRights} from '../lib/transferred-rights.js';
 
 const meshOf = (request: Mesh['request']): Mesh => ({
 	port: 0, request, send: () => undefined, close: async () => undefined,
@@ -31,7 +31,7 @@
 	await lenders.borrow({
 		budget: 'budget', tokens: 100, demanded: 0, peers: [peer('edge-1#old', '127.0.0.1:1'), peer('edge-1#new', '127.0.0.1:2')], isEnough: () => false,
 	});
-	t.is(transferredRights(account), 50);
+	t.is(transferred(account), 50);
 });
 
 test('a peer is given up after two silences in a row, or at once when it cannot be reached', async t => {
--- a/packages/entry/src/test/lib/rights-world.ts
+++ b/packages/entry/src/test/lib/rights-world.ts
@@ -1,10 +1,10 @@
-import {planDraw, type RightsObject} from '@deckwheel/ledger';
-import {availableRights} from '../../lib/available-rights.js';
+import {
+	planDraw, type RightsObject, available, transferred,
+} from '@deckwheel/ledger';
 import {emptyHostAccount} from '../../lib/empty-host-account.js';
 import type {HostAccount} from '../../lib/host-account.js';
 import {prepareRights} from '../../lib/prepare-rights.js';
 import {stepAccount} from '../../lib/step-account.js';
-import {transferredRights} from '../../lib/transferred-rights.js';
 
 const budget = 'b';
 
@@ -85,7 +85,7 @@
 			host: `host-${index}`, holder, limits: new Map([[budget, limit]]), version,
 		});
 		const plan = planDraw(prepared, holder, 0, [{
-			budget, granted: account.granted, transferred: transferredRights(account), settled: account.settled, billed: account.settled, rate: 0, wants: () => tokens,
+			budget, granted: account.granted, transferred: transferred(account), settled: account.settled, billed: account.settled, rate: 0, wants: () => tokens,
 		}]);
 		if (plan.type === 'write') {
 			writes = [...writes, {
@@ -125,7 +125,7 @@
 	};
 
 	const reserve = (index: number, tokens: number): boolean => {
-		if (availableRights(hosts[index]!.account) < tokens) {
+		if (available(hosts[index]!.account) < tokens) {
 			return true;
 		}
 
@@ -168,7 +168,7 @@
 					const index = at(command.host);
 					const {account, isWriting} = hosts[index]!;
 					if (!isWriting) {
-						step(index, {type: 'granted', total: account.granted - Math.min(command.tokens, Math.max(0, availableRights(account)))});
+						step(index, {type: 'granted', total: account.granted - Math.min(command.tokens, Math.max(0, available(account)))});
 						write(index, 0);
 					}
 
--- a/packages/lab/src/slopes.ts
+++ b/packages/lab/src/slopes.ts
@@ -191,7 +191,7 @@
 	const table: EndpointTable = stepEndpoints(new Map(), {type: 'configured', endpoints}, 0);
 	const cpu = spread(() => timePer(500, () => {
 		chooseEndpoint(table, {
-			target: 'm', hall: 'hall-a', priority: 'quick', deadline: 1, quickShare: 0, cachedTokens: () => 0, promptTokens: 100, tried: [],
+			target: 'm', hall: 'hall-a', priority: 'quick', quickShare: 0, cachedTokens: () => 0, promptTokens: 100, tried: [],
 		}, 1, rateByCost);
 	}));
 	show('choice among 125 endpoints', {cpu_us: cpu.median, least_us: cpu.least, most_us: cpu.most});
--- a/packages/ledger/src/index.ts
+++ b/packages/ledger/src/index.ts
@@ -7,6 +7,7 @@
 export type {ClaimRequest} from './claim-request.js';
 export type {Claim} from './claim.js';
 export {decide} from './decide.js';
+export {drawAmount} from './draw-amount.js';
 export type {DrawRequest} from './draw-request.js';
 export {emptyLedger} from './empty-ledger.js';
 export {holdAheadByShare} from './hold-ahead-by-share.js';
--- a/packages/ledger/src/surplus.ts
+++ b/packages/ledger/src/surplus.ts
@@ -3,10 +3,10 @@
 import type {HoldAhead} from './hold-ahead.js';
 import type {StoreView} from './store-view.js';
 
-/** Rights this small are not worth a give-back. */
+/** Rights this small are not worth a give-back, in tokens. Chosen without a measurement. */
 const keepTokens = 2000;
 
-/** How far above its target a holder may be before it gives back, so that rights do not swing between halls. */
+/** How far above its target a holder may be before it gives back, so that rights do not swing between halls. Chosen without a measurement. */
 const tolerance = 1.1;
 
 type SurplusInputs = {
@@ -14,13 +14,16 @@
 	readonly store: StoreView;
 	readonly holdAhead: HoldAhead;
 	readonly tokensPerSecond: number;
-	readonly halls: number;
+	readonly holders: number;
 };
 
-/** Tokens that a holder has beyond what its policy would hold, and so should give back to the store. */
-export const surplus = ({account, store, holdAhead, tokensPerSecond, halls}: SurplusInputs): number => {
-	const target = holdAhead({
-		tokensPerSecond, available: 0, missing: 0, halls, ...store,
-	});
+/**
+Decides how many tokens a pair of `deckwheeld` gives back to the store: what it has beyond what its policy would hold.
+
+The entry host on a platform decides by `planRights` (`packages/entry`): it tolerates more, since each of its writes
+counts against the rates of the platform's store, and it gives nothing back while the store is out of reach.
+*/
+export const surplus = ({account, store, holdAhead, tokensPerSecond, holders}: SurplusInputs): number => {
+	const target = holdAhead({tokensPerSecond, holders, ...store});
 	return Math.max(0, Math.floor(available(account) - (target * tolerance) - keepTokens));
 };
--- a/packages/ledger/src/test/hold-ahead-by-rate.test.ts
+++ b/packages/ledger/src/test/hold-ahead-by-rate.test.ts
@@ -4,7 +4,7 @@
 
 const holdAhead = holdAheadByRate({shareOfRest: 0.35, horizonSeconds: 8, idleShare: 0.3});
 const view: DemandView = {
-	tokensPerSecond: 5000, available: 0, missing: 0, unallocated: 1e6, remaining: 1e6, demandShare: 0.125, halls: 8,
+	tokensPerSecond: 5000, unallocated: 1e6, remaining: 1e6, demandShare: 0.125, holders: 8,
 };
 
 test('holds a time of its own demand where much remains', t => {
--- a/packages/ledger/src/transferred.ts
+++ b/packages/ledger/src/transferred.ts
@@ -1,5 +1,6 @@
-import type {Account} from './account.js';
+import type {Holdings} from './holdings.js';
 import {sumOf} from './lib/sum-of.js';
 
 /** Tokens received from other holders, less those given to them. */
-export const transferred = ({received, given}: Account): number => sumOf(received.values()) - sumOf(given.values());
+export const transferred = ({received, given}: Pick<Holdings, 'received' | 'given'>): number =>
+	sumOf(received.values()) - sumOf(given.values());
--- a/packages/routing/src/choose-endpoint.ts
+++ b/packages/routing/src/choose-endpoint.ts
@@ -1,12 +1,11 @@
 import type {EndpointState} from './endpoint-state.js';
 import type {EndpointTable} from './endpoint-table.js';
-import {rateByCost} from './rate-by-cost.js';
 import type {RateEndpoint} from './rate-endpoint.js';
 import type {RatedEndpoint} from './rated-endpoint.js';
-import type {RouteChoice} from './route-choice.js';
-import type {RouteRequest} from './route-request.js';
+import type {EndpointChoice} from './endpoint-choice.js';
+import type {EndpointRequest} from './endpoint-request.js';
 
-const isUsable = (state: EndpointState, request: RouteRequest, now: number): boolean => {
+const isUsable = (state: EndpointState, request: EndpointRequest, now: number): boolean => {
 	const {info, ejectedUntil, failures, inFlight} = state;
 	// After an ejection, one request at a time probes the endpoint.
 	const isProbing = failures > 0 && ejectedUntil > 0 && inFlight > 0;
@@ -25,11 +24,13 @@
 /**
 Chooses the endpoint with the least expected cost, or `undefined` when none can serve the request.
 
-An endpoint with room is preferred to one without.
+An endpoint with room is preferred to one without. Left out are endpoints that leave, were ejected (`stepEndpoints`), were
+tried by this request, or sit in another hall that was found out of reach. `deckwheeld` rates by `rateByCost`, the entry host
+on a platform by `rateByAffinity`.
 
 @param now Monotonic ms.
 */
-export const chooseEndpoint = (table: EndpointTable, request: RouteRequest, now: number, rate: RateEndpoint = rateByCost): RouteChoice | undefined => {
+export const chooseEndpoint = <R extends EndpointRequest>(table: EndpointTable, request: R, now: number, rate: RateEndpoint<R>): EndpointChoice | undefined => {
 	let best: RatedEndpoint | undefined;
 	for (const state of table.values()) {
 		const rated = isUsable(state, request, now) ? rate(state, request, now) : undefined;
--- a/packages/routing/src/route-choice.ts
+++ b/packages/routing/src/endpoint-choice.ts
@@ -1,5 +1,5 @@
 /** The endpoint chosen for a request, and why. */
-export type RouteChoice = {
+export type EndpointChoice = {
 	readonly endpoint: string;
 	/** One line of key=value pairs, for logs and `deckwheel explain`. */
 	readonly reason: string;
--- a/packages/routing/src/rate-by-affinity.ts
+++ b/packages/routing/src/rate-by-affinity.ts
@@ -1,6 +1,6 @@
 import {estimateLoad} from './lib/estimate-load.js';
 import type {RateEndpoint} from './rate-endpoint.js';
-import type {RouteRequest} from './route-request.js';
+import type {AffinityRequest} from './affinity-request.js';
 
 /** What it costs to read one token of a prompt anew: its time at the engine, and the work it holds up beside it. In ms. */
 const msPerReadToken = 0.06;
@@ -12,7 +12,7 @@
 /** More than any wait: an endpoint in a hall that seems out of reach is a last resort. */
 const avoidedHallMs = 1_000_000;
 
-const hallCost = (hall: string, request: RouteRequest): number => {
+const hallCost = (hall: string, request: AffinityRequest): number => {
 	if (hall === request.hall) {
 		return 0;
 	}
@@ -21,7 +21,7 @@
 };
 
 /** Weighs the part of the prompt that must be read anew against the load. For many hosts that cannot ask each other. */
-export const rateByAffinity: RateEndpoint = (state, request, now) => {
+export const rateByAffinity: RateEndpoint<AffinityRequest> = (state, request, now) => {
 	const {info} = state;
 	const load = estimateLoad(state, now);
 	const cached = Math.min(request.promptTokens, request.cachedTokens(info.id));
--- a/packages/routing/src/rate-by-cost.ts
+++ b/packages/routing/src/rate-by-cost.ts
@@ -1,6 +1,6 @@
 import {estimateLoad} from './lib/estimate-load.js';
 import type {RateEndpoint} from './rate-endpoint.js';
-import type {RouteRequest} from './route-request.js';
+import type {CostRequest} from './cost-request.js';
 
 /** Costs in ms that are added to the expected wait when endpoints are compared. */
 const otherHallMs = 20;
@@ -14,13 +14,13 @@
 const slackShare = 0.25;
 
 // Less urgent work leaves free somewhat fewer slots than quick work has been using.
-const roomFor = (slots: number, {priority, quickShare}: RouteRequest): number =>
+const roomFor = (slots: number, {priority, quickShare}: CostRequest): number =>
 	priority === 'quick'
 		? slots * (1 + quickOverfill)
 		: Math.max(1, slots + Math.ceil(slots * slackShare) - Math.floor(slots * quickShare));
 
 /** Weighs queue, prompt cache, hall, session and pace. This is what ships. */
-export const rateByCost: RateEndpoint = (state, request, now) => {
+export const rateByCost: RateEndpoint<CostRequest> = (state, request, now) => {
 	const {info, serviceMs, msPerToken} = state;
 	const load = estimateLoad(state, now);
 	const waitMs = Math.max(0, load + 1 - info.slots) * serviceMs / info.slots;
--- a/packages/entry/src/lib/step-retry-window.ts
+++ b/packages/routing/src/step-retry-window.ts
@@ -1,4 +1,3 @@
-import type {Bounds} from '../bounds.js';
 import type {RetryWindow} from './retry-window.js';
 
 const emptyWindow: RetryWindow = {
@@ -18,15 +17,23 @@
 		: {...emptyWindow, since: now};
 };
 
+/** What a service may get in repeats. */
+type RetryLimit = {
+	/** Repeats for each request of the window. */
+	readonly retryRatio: number;
+	readonly retryWindowMs: number;
+};
+
 type Step = {readonly window: RetryWindow; readonly isAllowed: boolean};
 
 /**
 Notes a request, or takes one repeat out of what the service may get.
 
-Each host keeps to its own part without asking: the ratio of its own requests. The slack is nobody's, so it is left.
+`deckwheeld` spends a credit instead (`stepRetryBudget`); here the platform states a ratio over a sliding window and counts
+repeats itself. Each host keeps to its own part without asking: the ratio of its own requests. The slack is nobody's, so it is left.
 Repeats of up to two windows count against the requests of one, so that no sliding window holds too many.
 */
-export const stepRetryWindow = (before: RetryWindow | undefined, event: 'request' | 'repeat', {retryRatio, retryWindowMs}: Bounds, now: number): Step => {
+export const stepRetryWindow = (before: RetryWindow | undefined, event: 'request' | 'repeat', {retryRatio, retryWindowMs}: RetryLimit, now: number): Step => {
 	const window = moveOn(before ?? {...emptyWindow, since: now}, retryWindowMs, now);
 	if (event === 'request') {
 		return {window: {...window, requests: window.requests + 1}, isAllowed: true};
--- a/packages/entry/src/test/step-retry-window.test.ts
+++ b/packages/routing/src/test/step-retry-window.test.ts
@@ -1,11 +1,8 @@
 import test from 'ava';
-import type {Bounds} from '../bounds.js';
-import type {RetryWindow} from '../lib/retry-window.js';
-import {stepRetryWindow} from '../lib/step-retry-window.js';
+import type {RetryWindow} from '../retry-window.js';
+import {stepRetryWindow} from '../step-retry-window.js';
 
-const bounds: Bounds = {
-	retryRatio: 0.2, retryWindowMs: 10_000, relayMs: 120, stopGraceMs: 8000,
-};
+const bounds = {retryRatio: 0.2, retryWindowMs: 10_000};
 
 /** Plays requests and attempts at repeats, at even times, and tells the times of the repeats that were allowed. */
 const play = (steps: ReadonlyArray<{at: number; event: 'request' | 'repeat'}>): readonly number[] => {
