--- a/packages/entry/src/lib/lending/borrower.ts
+++ b/packages/entry/src/lib/lending/borrower.ts
@@ -5,10 +5,10 @@
 	/**
 	Asks peers in turn until `tokens` can be reserved, or all were asked.
 
-	@param patienceMs How long all questions together may take; without it, each may take its time.
+	@param deadline Until when peers are asked, in monotonic ms; without it, each may take its time.
 	@returns Whether a peer answered that draws for this host and reaches the store.
 	*/
-	readonly borrow: (budget: string, tokens: number, peers: readonly ListedPeer[], patienceMs?: number) => Promise<boolean>;
+	readonly borrow: (budget: string, tokens: number, peers: readonly ListedPeer[], deadline?: number) => Promise<boolean>;
 	/** Hands idle rights back to the allocator that this host borrows from. */
 	readonly handBackIdle: (budget: string) => void;
 };
--- /dev/null
+++ b/packages/entry/src/lib/lending/create-lender.ts
@@ -0,0 +1,49 @@
+import type {Log} from '../../adapter/log.js';
+import type {Accounts} from '../rights/accounts.js';
+import type {RightsObtainer} from '../rights/rights-obtainer.js';
+import type {Allocators} from './allocators.js';
+import {createClientDemand} from './create-client-demand.js';
+import type {LoanReply} from './loan-reply.js';
+import type {LoanRequest} from './loan-request.js';
+import {loanShare} from './loan-share.js';
+import {planLoan} from './plan-loan.js';
+
+type Options = {
+	readonly accounts: Accounts;
+	readonly allocators: Allocators;
+	readonly obtainer: Pick<RightsObtainer, 'obtainForClient'>;
+	readonly isStoreUp: () => boolean;
+	readonly isRetiring: () => boolean;
+	readonly log: Log;
+};
+
+/** Creates the function that answers a peer that asks for rights. Rights leave this host's account before the reply is sent. */
+export const createLender = ({accounts, allocators, obtainer, isStoreUp, isRetiring, log}: Options) => {
+	const clientDemand = createClientDemand();
+
+	return async (to: string, {budget, tokens, demanded, received}: LoanRequest): Promise<LoanReply> => {
+		const givenTo = (): number => accounts.of(budget).given.get(to) ?? 0;
+		const isClient = allocators.isClient(to, budget);
+		const share = loanShare(isClient);
+		// Hosts that draw for themselves, here or in other halls, are peers in need and no lasting demand on this one.
+		if (isClient) {
+			accounts.step(budget, {type: 'demanded', by: 'client', tokens: clientDemand.note(to, budget, demanded)});
+			await obtainer.obtainForClient(budget, Math.ceil(planLoan({asked: tokens, given: givenTo(), received}) / share));
+		}
+
+		// Another question of the same peer may have been answered in the meantime.
+		const given = givenTo();
+		if (!isRetiring()) {
+			accounts.step(budget, {
+				type: 'lent', to, tokens: planLoan({asked: tokens, given, received}), share,
+			});
+		}
+
+		const total = givenTo();
+		log('rights_lent', {
+			to, budget, asked: tokens, lent: total - given, total,
+		});
+		// Another allocator got what was at hand; nothing was drawn for it, so it may still draw for itself.
+		return {total, reachesStore: isClient && isStoreUp() && !isRetiring()};
+	};
+};
--- a/packages/entry/src/lib/lending/create-lenders.ts
+++ b/packages/entry/src/lib/lending/create-loan-client.ts
@@ -1,9 +1,11 @@
 import type {LinkError, Mesh} from '@deckwheel/mesh';
-import type {Lenders} from './lenders.js';
+import type {Log} from '../../adapter/log.js';
+import type {LoanClient} from './loan-client.js';
 import type {LoanReply} from './loan-reply.js';
 import type {LoanRequest} from './loan-request.js';
-import {loanSchema} from './loan-schema.js';
+import {loanReplySchema} from './loan-reply-schema.js';
 
+/** Peers asked for one request: a bound on its messages. Chosen without a measurement. */
 const maxAsked = 6;
 
 type LoanMessage = LoanRequest & {readonly type: 'lend'};
@@ -18,12 +20,13 @@
 	readonly onSilence: (address: string) => void;
 	/** How long one peer may take to answer, in ms. */
 	readonly askTimeoutMs: number;
+	readonly log: Log;
 	/** Monotonic ms. */
 	readonly now: () => number;
 };
 
-/** Creates the asker for rights of peers. A lost reply strands nothing for good: the next one carries the total again. */
-export const createLenders = ({mesh, receivedFrom, onLoan, onSilence, askTimeoutMs, now}: Options): Lenders => {
+/** Creates the client of loans. A lost reply strands nothing for good: the next one carries the total again. */
+export const createLoanClient = ({mesh, receivedFrom, onLoan, onSilence, askTimeoutMs, log, now}: Options): LoanClient => {
 	const silent = new Set<string>();
 
 	// A first silence may be a link that is being opened, or a lender that waits for the store.
@@ -45,22 +48,23 @@
 		}
 
 		silent.delete(address);
-		const loan = loanSchema.safeParse(reply.value);
-		if (loan.success) {
-			onLoan(question.budget, loan.data.lender, loan.data.total);
+		const loan = loanReplySchema.safeParse(reply.value);
+		if (!loan.success) {
+			log('peer_reply_malformed', {address, type: question.type});
+			return undefined;
 		}
 
+		onLoan(question.budget, loan.data.lender, loan.data.total);
 		return loan.data;
 	};
 
 	return {
-		async borrow({budget, tokens, demanded, peers, patienceMs = Number.POSITIVE_INFINITY, isEnough}) {
-			const until = now() + patienceMs;
+		async borrow({budget, tokens, demanded, peers, deadline = Number.POSITIVE_INFINITY, isEnough}) {
 			const byAddress = new Map(peers.map(peer => [peer.address, peer.holder]));
 			let hasReachedStore = false;
 			for (const [address, holder] of [...byAddress].slice(0, maxAsked)) {
 				const link = mesh();
-				const timeoutMs = Math.min(askTimeoutMs, until - now());
+				const timeoutMs = Math.min(askTimeoutMs, deadline - now());
 				if (!link || timeoutMs <= 0) {
 					break;
 				}
--- a/packages/entry/src/lib/lending/lenders.ts
+++ b/packages/entry/src/lib/lending/loan-client.ts
@@ -1,9 +1,9 @@
 import type {LoanQuestion} from './loan-question.js';
 
-/** Asks peers for rights. */
-export type Lenders = {
+/** The asking side of loans between hosts. The answering side is `createLender`. */
+export type LoanClient = {
 	/**
-	Asks peers in turn, until it is enough or the timeouts is over.
+	Asks peers in turn, until it is enough or the time is over.
 
 	@returns Whether a peer answered that draws for this host and reaches the store.
 	*/
--- a/packages/entry/src/lib/lending/loan-question.ts
+++ b/packages/entry/src/lib/lending/loan-question.ts
@@ -8,7 +8,7 @@
 	readonly demanded: number;
 	/** In the order in which they are asked. */
 	readonly peers: readonly ListedPeer[];
-	/** How long all questions together may take, in ms. */
-	readonly patienceMs?: number;
+	/** Until when peers are asked, in monotonic ms; without it, each may take its time. */
+	readonly deadline?: number;
 	readonly isEnough: () => boolean;
 };
--- a/packages/entry/src/lib/rights-store/create-draw-queue.ts
+++ b/packages/entry/src/lib/rights-store/create-draw-queue.ts
@@ -11,10 +11,12 @@
 type Options = {
 	readonly accounts: Accounts;
 	readonly writer: () => SlotWriter;
+	/** Monotonic ms. */
+	readonly now: () => number;
 };
 
 /** Creates the queue of requests that wait for rights. One write serves all that waited when it was planned. */
-export const createDrawQueue = ({accounts, writer}: Options): DrawQueue => {
+export const createDrawQueue = ({accounts, writer, now}: Options): DrawQueue => {
 	let waiters: readonly Waiter[] = [];
 
 	const flushFor = async (waiter: Waiter): Promise<void> => {
@@ -48,7 +50,7 @@
 
 			return Math.max(0, wanted - accounts.available(budget));
 		},
-		draw: async (budget, tokens, waitMs) => new Promise(resolve => {
+		draw: async (budget, tokens, deadline) => new Promise(resolve => {
 			const waiter: Waiter = {
 				budget,
 				tokens,
@@ -60,7 +62,7 @@
 			const giveUp = setTimeout(() => {
 				waiters = waiters.filter(entry => entry !== waiter);
 				resolve('unavailable');
-			}, waitMs);
+			}, deadline - now());
 			waiters = [...waiters, waiter];
 			void flushFor(waiter);
 		}),
--- a/packages/entry/src/lib/rights-store/draw-queue.ts
+++ b/packages/entry/src/lib/rights-store/draw-queue.ts
@@ -1,7 +1,7 @@
 /** Requests that wait for a draw from the store. */
 export type DrawQueue = {
-	/** Waits for rights drawn for this request, up to `waitMs`. */
-	readonly draw: (budget: string, tokens: number, waitMs: number) => Promise<'reserved' | 'unavailable'>;
+	/** Waits for rights drawn for this request, until `deadline` (monotonic ms). */
+	readonly draw: (budget: string, tokens: number, deadline: number) => Promise<'reserved' | 'unavailable'>;
 	/** What waiting requests lack beyond what is available, in tokens. */
 	readonly missing: (budget: string) => number;
 };
--- /dev/null
+++ b/packages/entry/src/lib/rights/is-budget-exhausted.ts
@@ -0,0 +1,21 @@
+import {viewStore, type BudgetRights} from '@deckwheel/ledger';
+import {viewTrustMs} from '../rights-store/view-trust-ms.js';
+
+type Inputs = {
+	/** The store's record of the budget; `undefined` while it was never read. */
+	readonly rights: BudgetRights | undefined;
+	/** Age of that record, in ms. */
+	readonly ageMs: number;
+	readonly holder: string;
+	/** What the request needs. */
+	readonly tokens: number;
+};
+
+/**
+Decides whether a refusal for want of rights is final (402) or the caller should come back (429). Pure.
+
+A final refusal needs proof: a record that is fresh, by which what no host has reported as spent is too little. What
+hosts hold and may still lend counts as left.
+*/
+export const isBudgetExhausted = ({rights, ageMs, holder, tokens}: Inputs): boolean =>
+	rights !== undefined && ageMs < viewTrustMs && viewStore(rights, holder, 0).remaining < tokens;
--- /dev/null
+++ b/packages/entry/src/lib/rights/plan-draw-amount.ts
@@ -0,0 +1,37 @@
+import {
+	drawAmount, type BudgetRights, type HoldAhead, type StoreView,
+} from '@deckwheel/ledger';
+import {holdersOf} from '../rights-store/holders-of.js';
+import {viewRights} from '../rights-store/view-rights.js';
+import {demandRate} from './demand-rate.js';
+import type {HostAccount} from './host-account.js';
+
+type Inputs = {
+	readonly account: HostAccount;
+	/** Tokens that the host may still reserve. */
+	readonly available: number;
+	/** What waiting requests lack, in tokens. */
+	readonly missing: number;
+	/** The store's side of the budget, with this host's own demand. */
+	readonly view: StoreView;
+	readonly rights: BudgetRights;
+	readonly holder: string;
+	readonly holdAhead: HoldAhead;
+	/** Whether this host is about to stop. */
+	readonly isRetiring: boolean;
+};
+
+/** Decides how many tokens of a budget a write to the store draws. Pure. May be negative; the ledger keeps it within 0 and the rest. */
+export const planDrawAmount = ({account, available, missing, view, rights, holder, holdAhead, isRetiring}: Inputs): number => {
+	if (isRetiring) {
+		return 0;
+	}
+
+	const target = holdAhead({
+		...view,
+		remaining: viewRights(rights, holder, 0).remaining,
+		tokensPerSecond: demandRate(account),
+		holders: holdersOf(rights, holder),
+	});
+	return drawAmount({target, available, missing});
+};
--- a/packages/entry/src/start-entry-host.ts
+++ b/packages/entry/src/start-entry-host.ts
@@ -8,7 +8,7 @@
 import type {FleetConfig} from './config/fleet-config.js';
 import {createConnectionPool} from './lib/sending/create-connection-pool.js';
 import {createEndpointChooser} from './lib/choice/create-endpoint-chooser.js';
-import {createLenders} from './lib/lending/create-lenders.js';
+import {createLoanClient} from './lib/lending/create-loan-client.js';
 import {createChangeBoard} from './lib/store-changes/create-change-board.js';
 import {createStoreChanges} from './lib/store-changes/create-store-changes.js';
 import {createRightsKeeper} from './lib/rights/create-rights-keeper.js';
@@ -35,7 +35,7 @@
 	const now = (): number => performance.now();
 	const holder = `${host}#${Date.now().toString(36)}${Math.floor(Math.random() * 46_656).toString(36)}`;
 	const pool = createConnectionPool(now);
-	const lenders = createLenders({
+	const loanClient = createLoanClient({
 		mesh: () => links.mesh(),
 		receivedFrom: (budget, lender) => rights.receivedFrom(budget, lender),
 		onLoan(budget, from, total) {
@@ -45,10 +45,11 @@
 			links.suspect(address);
 		},
 		askTimeoutMs: timeouts.peerMs,
+		log,
 		now,
 	});
 	const rights = createRightsKeeper({
-		host, holder, store: rightsStore, lenders, links: () => links, timeouts, log, now,
+		host, holder, store: rightsStore, loanClient, links: () => links, timeouts, log, now,
 	});
 	const board = createChangeBoard(now);
 	const links = startPeerLinks({
--- a/packages/entry/src/test/create-borrower.test.ts
+++ b/packages/entry/src/test/create-borrower.test.ts
@@ -13,7 +13,7 @@
 	let lent = 0;
 	const borrower = createBorrower({
 		accounts,
-		lenders: {
+		loanClient: {
 			async borrow(question) {
 				questions.push(question);
 				await new Promise<void>(resolve => {
@@ -27,6 +27,7 @@
 		},
 		allocatorsOf: () => [allocator],
 		log: () => undefined,
+		now: () => 0,
 	});
 	const reserve = async (tokens: number): Promise<boolean> => {
 		await borrower.borrow(budget, tokens, [allocator]);
--- a/packages/entry/src/test/create-lenders.test.ts
+++ b/packages/entry/src/test/create-loan-client.test.ts
@@ -4,7 +4,7 @@
 import {transferred} from '@deckwheel/ledger';
 import {defaultTimeouts} from '../default-timeouts.js';
 import type {ListedPeer} from '../adapter/listed-peer.js';
-import {createLenders} from '../lib/lending/create-lenders.js';
+import {createLoanClient} from '../lib/lending/create-loan-client.js';
 import {emptyHostAccount} from '../lib/rights/empty-host-account.js';
 import {stepAccount} from '../lib/rights/step-account.js';
 
@@ -18,7 +18,7 @@
 	// Both addresses lead to one life of the host.
 	const mesh = meshOf(async () => succeed({lender: 'edge-1#new', total: 50, reachesStore: true}));
 	let account = emptyHostAccount;
-	const lenders = createLenders({
+	const loanClient = createLoanClient({
 		mesh: () => mesh,
 		onLoan(_budget, from, total) {
 			account = stepAccount(account, {type: 'received', from, total});
@@ -26,9 +26,10 @@
 		receivedFrom: () => 0,
 		onSilence: () => undefined,
 		askTimeoutMs: defaultTimeouts.peerMs,
+		log: () => undefined,
 		now: () => 0,
 	});
-	await lenders.borrow({
+	await loanClient.borrow({
 		budget: 'budget', tokens: 100, demanded: 0, peers: [peer('edge-1#old', '127.0.0.1:1'), peer('edge-1#new', '127.0.0.1:2')], isEnough: () => false,
 	});
 	t.is(transferred(account), 50);
@@ -37,7 +38,7 @@
 test('a peer is given up after two silences in a row, or at once when it cannot be reached', async t => {
 	const suspected: string[] = [];
 	const errors: LinkError[] = ['unknown', 'unknown', 'unreachable'];
-	const lenders = createLenders({
+	const loanClient = createLoanClient({
 		mesh: () => meshOf(async () => fail(errors.shift()!)),
 		onLoan: () => undefined,
 		receivedFrom: () => 0,
@@ -45,9 +46,10 @@
 			suspected.push(address);
 		},
 		askTimeoutMs: defaultTimeouts.peerMs,
+		log: () => undefined,
 		now: () => 0,
 	});
-	const ask = async (): Promise<boolean> => lenders.borrow({
+	const ask = async (): Promise<boolean> => loanClient.borrow({
 		budget: 'budget', tokens: 100, demanded: 0, peers: [peer('edge-1#a', '127.0.0.1:1')], isEnough: () => false,
 	});
 	await ask();
@@ -61,7 +63,7 @@
 test('peers are asked only while the patience lasts', async t => {
 	let time = 0;
 	const timeouts: number[] = [];
-	const lenders = createLenders({
+	const loanClient = createLoanClient({
 		mesh: () => meshOf(async (_address, _body, timeoutMs) => {
 			timeouts.push(timeoutMs);
 			time += 50;
@@ -71,10 +73,11 @@
 		receivedFrom: () => 0,
 		onSilence: () => undefined,
 		askTimeoutMs: defaultTimeouts.peerMs,
+		log: () => undefined,
 		now: () => time,
 	});
-	await lenders.borrow({
-		budget: 'budget', tokens: 100, demanded: 0, peers: ['a', 'b', 'c', 'd'].map(name => peer(`${name}#1`, name)), patienceMs: 80, isEnough: () => false,
+	await loanClient.borrow({
+		budget: 'budget', tokens: 100, demanded: 0, peers: ['a', 'b', 'c', 'd'].map(name => peer(`${name}#1`, name)), deadline: 80, isEnough: () => false,
 	});
 	t.deepEqual(timeouts, [80, 30]);
 });
--- a/packages/entry/src/test/large-hall.test.ts
+++ b/packages/entry/src/test/large-hall.test.ts
@@ -9,7 +9,7 @@
 
 const hallSize = 6;
 const limit = 100_000;
-const waitMs = 1000;
+const deadline = 1000;
 
 const startHall = (t: {teardown: (end: () => void) => void}) => {
 	const store = createMemoryRightsStore();
@@ -31,7 +31,7 @@
 test('in a large hall the hosts borrow from one that draws', async t => {
 	const {keepers, allocators, clients, granted} = startHall(t);
 	for (const {rights} of keepers) {
-		t.is(await rights.reserve('org', 1000, waitMs), 'reserved');
+		t.is(await rights.reserve('org', 1000, deadline), 'reserved');
 	}
 
 	t.true(clients.every(({events}) => events.includes('rights_borrowed') && !events.includes('rights_drawn')));
@@ -41,10 +41,10 @@
 
 test('when the one that draws is gone, the one that stands by takes over', async t => {
 	const {allocators, clients} = startHall(t);
-	t.is(await clients[0]!.rights.reserve('org', 1000, waitMs), 'reserved');
+	t.is(await clients[0]!.rights.reserve('org', 1000, deadline), 'reserved');
 	allocators[0]!.kill();
 	for (const {rights} of clients) {
-		t.is(await rights.reserve('org', 5000, waitMs), 'reserved');
+		t.is(await rights.reserve('org', 5000, deadline), 'reserved');
 	}
 
 	t.true(allocators[1]!.events.includes('rights_lent'));
@@ -60,7 +60,7 @@
 
 	const outcomes = [];
 	for (let i = 0; i < 30; i++) {
-		outcomes.push(await clients[i % clients.length]!.rights.reserve('org', 5000, waitMs));
+		outcomes.push(await clients[i % clients.length]!.rights.reserve('org', 5000, deadline));
 	}
 
 	t.true(outcomes.includes('reserved'));
--- a/packages/entry/src/test/lib/start-keepers.ts
+++ b/packages/entry/src/test/lib/start-keepers.ts
@@ -2,7 +2,7 @@
 import {defaultTimeouts} from '../../default-timeouts.js';
 import type {ListedPeer} from '../../adapter/listed-peer.js';
 import type {RightsStore} from '../../adapter/rights-store.js';
-import {createLenders} from '../../lib/lending/create-lenders.js';
+import {createLoanClient} from '../../lib/lending/create-loan-client.js';
 import {createRightsKeeper} from '../../lib/rights/create-rights-keeper.js';
 import {hostOfHolder} from '../../lib/rights-store/host-of-holder.js';
 import type {LoanRequest} from '../../lib/lending/loan-request.js';
@@ -31,7 +31,7 @@
 
 	const startKeeper = (peer: ListedPeer): KeeperOfHost => {
 		const events: string[] = [];
-		const lenders = createLenders({
+		const loanClient = createLoanClient({
 			mesh: () => ({
 				port: 0,
 				async request(address, body) {
@@ -51,13 +51,14 @@
 				inReach = peers.filter(entry => !suspected.has(entry.address));
 			},
 			askTimeoutMs: defaultTimeouts.peerMs,
+			log: () => undefined,
 			now: () => 0,
 		});
 		const rights = createRightsKeeper({
 			host: hostOfHolder(peer.holder),
 			holder: peer.holder,
 			store,
-			lenders,
+			loanClient,
 			links: () => ({
 				hallPeers: () => inReach, hallSize: () => count, isSettled: () => true, peerOf: holder => peers.find(entry => entry.holder === holder),
 			}),
--- /dev/null
+++ b/packages/entry/src/test/refuse-for-want-of-rights.test.ts
@@ -0,0 +1,30 @@
+import test from 'ava';
+import type {BudgetRights, HolderRights} from '@deckwheel/ledger';
+import {rankHolders} from '../lib/lending/rank-holders.js';
+import {isBudgetExhausted} from '../lib/rights/is-budget-exhausted.js';
+import {planRetryAfter} from '../lib/rights/plan-retry-after.js';
+
+const holder = (granted: number, settled: number): HolderRights => ({
+	epoch: 0, granted, transferred: 0, rate: 0, settled, billed: settled,
+});
+const rights: BudgetRights = {
+	organisation: 'org', limit: 1000, topUps: [], holders: {'a#1': holder(300, 250), 'b#1': holder(400, 100), 'c#1': holder(200, 190)},
+};
+
+test('a refusal is final only by a fresh record, and what others hold counts as left', t => {
+	const inputs = {
+		rights, ageMs: 0, holder: 'a#1', tokens: 461,
+	};
+	t.true(isBudgetExhausted(inputs));
+	t.false(isBudgetExhausted({...inputs, tokens: 460}));
+	t.false(isBudgetExhausted({...inputs, ageMs: 60_000}));
+	t.false(isBudgetExhausted({...inputs, rights: undefined}));
+});
+
+test('holders with most left are asked first, and the asker is not', t => {
+	t.deepEqual(rankHolders(rights, 'a#1'), ['b#1', 'c#1']);
+});
+
+test('callers come back after as long as the store has been away, within bounds', t => {
+	t.deepEqual([0, 5000, 100_000].map(downMs => planRetryAfter(downMs)), [2, 5, 30]);
+});
