--- /dev/null
+++ b/packages/entry/src/lib/host/create-open-requests.ts
@@ -0,0 +1,30 @@
+import type {OpenRequests} from './open-requests.js';
+
+/** How often a host that stops looks whether all requests have ended, in ms. */
+const pollMs = 50;
+
+/**
+Creates the count of open requests.
+
+@param now Monotonic ms.
+*/
+export const createOpenRequests = (now: () => number): OpenRequests => {
+	let open = 0;
+	return {
+		add(res) {
+			open++;
+			res.once('close', () => {
+				open--;
+			});
+		},
+		count: () => open,
+		untilNone: async deadline => new Promise(resolve => {
+			const poll = setInterval(() => {
+				if (open === 0 || now() > deadline) {
+					clearInterval(poll);
+					resolve();
+				}
+			}, pollMs);
+		}),
+	};
+};
--- /dev/null
+++ b/packages/entry/src/lib/host/create-retry-limiter.ts
@@ -0,0 +1,24 @@
+import {stepRetryWindow, type RetryWindow} from '@deckwheel/routing';
+import type {Bounds} from '../../adapter/bounds.js';
+import type {RetryLimiter} from './retry-limiter.js';
+
+/**
+Creates the limiter of repeats. The rule is `stepRetryWindow`.
+
+@param now Monotonic ms.
+*/
+export const createRetryLimiter = (bounds: Bounds, now: () => number): RetryLimiter => {
+	const windows = new Map<string, RetryWindow>();
+	const step = (service: string, event: 'request' | 'repeat'): boolean => {
+		const {window, isAllowed} = stepRetryWindow(windows.get(service), event, bounds, now());
+		windows.set(service, window);
+		return isAllowed;
+	};
+
+	return {
+		noteRequest(service) {
+			step(service, 'request');
+		},
+		mayRepeat: service => step(service, 'repeat'),
+	};
+};
--- /dev/null
+++ b/packages/entry/src/lib/host/start-health-watch.ts
@@ -0,0 +1,53 @@
+import type {Bounds} from '../../adapter/bounds.js';
+import type {ListedEndpoint} from '../../adapter/listed-endpoint.js';
+import type {Log} from '../../adapter/log.js';
+import type {Timeouts} from '../../timeouts.js';
+import type {HallWatch} from '../hall-health/hall-watch.js';
+import {probeAddress} from '../hall-health/probe-address.js';
+import {startHallWatch} from '../hall-health/start-hall-watch.js';
+import type {LatenessWatch} from '../own-health/lateness-watch.js';
+import {startLatenessWatch} from '../own-health/start-lateness-watch.js';
+
+type Options = {
+	readonly hall: string;
+	readonly bounds: Bounds;
+	readonly timeouts: Timeouts;
+	/** Requests open now. */
+	readonly open: () => number;
+	readonly log: Log;
+	/** Monotonic ms. */
+	readonly now: () => number;
+};
+
+/** What a host finds out about itself and about other halls. */
+type HealthWatch = {
+	readonly lateness: LatenessWatch;
+	readonly halls: HallWatch;
+	/** Notes how long an endpoint took to accept a connection, in ms. */
+	readonly noteConnect: (endpoint: ListedEndpoint, tookMs: number) => void;
+	readonly close: () => void;
+};
+
+/** Starts the watches of this host's own lateness and of other halls. A host that is late judges no hall. */
+export const startHealthWatch = ({hall, bounds, timeouts, open, log, now}: Options): HealthWatch => {
+	const lateness = startLatenessWatch({
+		boundMs: bounds.relayMs, open, log, now,
+	});
+	const halls = startHallWatch({
+		hall, probe: async address => probeAddress(address, timeouts.probeMs), isOverloaded: lateness.isOverloaded, log, now,
+	});
+	return {
+		lateness,
+		halls,
+		noteConnect(endpoint, tookMs) {
+			// A connection to another hall takes longer when that hall is far or cut off, which says nothing of this host.
+			if (endpoint.hall === hall) {
+				lateness.noteConnect(tookMs);
+			}
+		},
+		close() {
+			lateness.close();
+			halls.close();
+		},
+	};
+};
--- /dev/null
+++ b/packages/entry/src/lib/host/start-servers.ts
@@ -0,0 +1,61 @@
+import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
+import {listenAt} from '@deckwheel/host-kit';
+import type {CallerLimits} from '../../config/caller-limits.js';
+import type {OpenRequests} from './open-requests.js';
+
+/** Heads of callers' requests are bounded here once, in bytes; the configuration's own bound is lower. */
+const maxHeaderBytes = 65_536;
+
+/** Until a configuration says how long callers' idle connections are kept, in ms. Chosen without a measurement. */
+const firstKeepAliveMs = 15_000;
+
+type Options = {
+	readonly listen: {readonly callers: string; readonly ready: string};
+	readonly open: OpenRequests;
+	readonly serve: (req: IncomingMessage, res: ServerResponse) => Promise<void>;
+	readonly isReady: () => boolean;
+	/** Whether callers' connections are closed after their answers. */
+	readonly isClosing: () => boolean;
+};
+
+/** The two servers of a host: for callers, and for the balancer that asks whether it is ready. */
+type Servers = {
+	readonly addresses: {readonly callers: string; readonly ready: string};
+	readonly limit: (limits: CallerLimits) => void;
+	readonly closeIdleConnections: () => void;
+	/** Ends at once, with all connections. */
+	readonly kill: () => void;
+};
+
+/** Starts both servers. */
+export const startServers = async ({listen, open, serve, isReady, isClosing}: Options): Promise<Servers> => {
+	const callers = createServer({maxHeaderSize: maxHeaderBytes, keepAliveTimeout: firstKeepAliveMs, noDelay: true}, (req, res) => {
+		open.add(res);
+		if (isClosing()) {
+			res.shouldKeepAlive = false;
+		}
+
+		void serve(req, res);
+	});
+	const ready = createServer((_req, res) => {
+		res.writeHead(isReady() ? 200 : 503, {'content-length': 0});
+		res.end();
+	});
+	const [callersAddress, readyAddress] = await Promise.all([listenAt(callers, listen.callers), listenAt(ready, listen.ready)]);
+	return {
+		addresses: {callers: callersAddress, ready: readyAddress},
+		limit(limits) {
+			callers.keepAliveTimeout = limits.idleTimeoutMs;
+			callers.headersTimeout = limits.headerTimeoutMs;
+		},
+		closeIdleConnections() {
+			callers.closeIdleConnections();
+		},
+		kill() {
+			for (const server of [callers, ready]) {
+				server.closeAllConnections();
+				server.close();
+			}
+		},
+	};
+};
--- /dev/null
+++ b/packages/entry/src/lib/host/start-sharing.ts
@@ -0,0 +1,73 @@
+import type {Log} from '../../adapter/log.js';
+import type {PeerDirectory} from '../../adapter/peer-directory.js';
+import type {RightsStore} from '../../adapter/rights-store.js';
+import type {StoreChanges} from '../../adapter/store-changes.js';
+import type {Timeouts} from '../../timeouts.js';
+import {createLoanClient} from '../lending/create-loan-client.js';
+import {startPeerLinks} from '../peers/start-peer-links.js';
+import {createRightsKeeper} from '../rights/create-rights-keeper.js';
+import type {RightsKeeper} from '../rights/rights-keeper.js';
+import {createChangeBoard} from '../store-changes/create-change-board.js';
+import {createStoreChanges} from '../store-changes/create-store-changes.js';
+
+type Options = {
+	readonly host: string;
+	readonly hall: string;
+	/** The name of this life of the host. */
+	readonly holder: string;
+	/** Where peers reach this host, as `ip:port`. */
+	readonly address: string;
+	readonly rightsStore: RightsStore;
+	readonly directory: PeerDirectory;
+	readonly timeouts: Timeouts;
+	readonly log: Log;
+	/** Monotonic ms. */
+	readonly now: () => number;
+};
+
+/** What a host shares with its peers: rights on budgets, and what it sees of the store. */
+type Sharing = {
+	readonly rights: RightsKeeper;
+	readonly storeChanges: StoreChanges;
+	readonly close: () => Promise<void>;
+};
+
+/** Puts together the tasks that talk to peers: the keeper of rights, loans, change notifications, and the links they use. */
+export const startSharing = ({host, hall, holder, address, rightsStore, directory, timeouts, log, now}: Options): Sharing => {
+	const loanClient = createLoanClient({
+		mesh: () => links.mesh(),
+		receivedFrom: (budget, lender) => rights.receivedFrom(budget, lender),
+		onLoan(budget, from, total) {
+			rights.receive(budget, from, total);
+		},
+		onSilence(peer) {
+			links.suspect(peer);
+		},
+		askTimeoutMs: timeouts.peerMs,
+		log,
+		now,
+	});
+	const rights = createRightsKeeper({
+		host, holder, store: rightsStore, loanClient, links: () => links, timeouts, log, now,
+	});
+	const board = createChangeBoard(now);
+	const links = startPeerLinks({
+		self: {holder, address, hall},
+		directory,
+		lend: async (to, request) => rights.lend(to, request),
+		takeBack(from, budget, total) {
+			rights.takeBack(budget, from, total);
+		},
+		answerChanges: board.answer,
+		log,
+		now,
+	});
+	return {
+		rights,
+		storeChanges: createStoreChanges({holder, board, links: () => links}),
+		async close() {
+			rights.close();
+			await links.close();
+		},
+	};
+};
--- a/packages/entry/src/lib/own-health/start-lateness-watch.ts
+++ b/packages/entry/src/lib/own-health/start-lateness-watch.ts
@@ -1,5 +1,6 @@
 import type {Log} from '../../adapter/log.js';
 import type {LatenessEvent} from './lateness-event.js';
+import type {LatenessWatch} from './lateness-watch.js';
 import type {Lateness} from './lateness.js';
 import {stepLateness} from './step-lateness.js';
 import {stepShedding} from './step-shedding.js';
@@ -22,16 +23,6 @@
 	readonly now: () => number;
 };
 
-/** Knows whether this host keeps up with its work. */
-type LatenessWatch = {
-	/** Notes how long a connection within the hall took to come up, in ms. */
-	readonly noteConnect: (tookMs: number) => void;
-	readonly isOverloaded: () => boolean;
-	/** Whether so many requests are open that one more is better served by another host. */
-	readonly isShedding: () => boolean;
-	readonly close: () => void;
-};
-
 /**
 Watches how late this process's timers are, and how long connections within its hall take: a host whose core or link cannot
 keep up sends callers elsewhere, and blames no endpoint for its own delays.
--- /dev/null
+++ b/packages/entry/src/lib/peers/create-peer-answerer.ts
@@ -0,0 +1,36 @@
+import type {Identity} from '@deckwheel/mesh';
+import type {Log} from '../../adapter/log.js';
+import type {PeerHandlers} from './peer-handlers.js';
+import {peerMessageSchema} from './peer-message-schema.js';
+
+type Options = PeerHandlers & {
+	/** The name of this life of the host. */
+	readonly holder: string;
+	readonly log: Log;
+};
+
+/** Creates the function that checks what peers ask and passes it to who answers it. */
+export const createPeerAnswerer = ({lend, takeBack, answerChanges, holder, log}: Options) => async (from: Identity, body: unknown): Promise<unknown> => {
+	const message = peerMessageSchema.safeParse(body);
+	if (!message.success) {
+		log('peer_message_malformed', {from: from.incarnation});
+		return undefined;
+	}
+
+	const {data} = message;
+	switch (data.type) {
+		case 'hand_back': {
+			takeBack(from.incarnation, data.budget, data.total);
+			return {};
+		}
+
+		// The name on the wire of a question about changes in the store.
+		case 'news': {
+			return answerChanges(data.topic, data.after, data.holdMs);
+		}
+
+		case 'lend': {
+			return {lender: holder, ...await lend(from.incarnation, data)};
+		}
+	}
+};
--- /dev/null
+++ b/packages/entry/src/lib/peers/create-peer-list.ts
@@ -0,0 +1,69 @@
+import type {ListedPeer} from '../../adapter/listed-peer.js';
+import type {HallView} from './hall-view.js';
+import {viewHall} from './view-hall.js';
+
+/**
+How long a peer that did not answer is not counted on, in ms. Short, so that a host that
+restarts is asked again soon. Chosen without a measurement.
+*/
+const suspicionMs = 3000;
+
+/** The hosts that a host knows of. */
+type PeerList = {
+	/** Takes in what the directory lists. */
+	readonly setListed: (peers: readonly ListedPeer[]) => void;
+	/** Takes in this host as peers find it. */
+	readonly setSelf: (self: ListedPeer) => void;
+	readonly self: () => ListedPeer;
+	readonly ofHolder: (holder: string) => ListedPeer | undefined;
+	readonly suspect: (address: string) => void;
+	/** The own hall as it is now. The same arrays until something changes. */
+	readonly hall: () => HallView;
+};
+
+/**
+Creates a list that holds this host only.
+
+@param now Monotonic ms.
+*/
+export const createPeerList = (firstSelf: ListedPeer, now: () => number): PeerList => {
+	const suspectedUntil = new Map<string, number>();
+	let self = firstSelf;
+	let listed: ReadonlyMap<string, ListedPeer> = new Map();
+	let view: HallView | undefined;
+
+	const forgetEnded = (): void => {
+		for (const [address, until] of suspectedUntil) {
+			if (until <= now()) {
+				suspectedUntil.delete(address);
+			}
+		}
+	};
+
+	return {
+		setListed(peers) {
+			listed = new Map(peers.map(peer => [peer.holder, peer]));
+			view = undefined;
+		},
+		setSelf(next) {
+			self = next;
+			view = undefined;
+		},
+		self: () => self,
+		ofHolder: holder => listed.get(holder),
+		suspect(address) {
+			suspectedUntil.set(address, now() + suspicionMs);
+			view = undefined;
+		},
+		hall() {
+			if (view === undefined || now() >= view.validUntil) {
+				forgetEnded();
+				view = viewHall({
+					self, listed: listed.values(), suspectedUntil, now: now(),
+				});
+			}
+
+			return view;
+		},
+	};
+};
--- /dev/null
+++ b/packages/entry/src/lib/peers/peer-handlers.ts
@@ -0,0 +1,13 @@
+import type {LoanReply} from '../lending/loan-reply.js';
+import type {LoanRequest} from '../lending/loan-request.js';
+import type {ChangeReply} from '../store-changes/change-reply.js';
+
+/** Who answers which message of a peer. */
+export type PeerHandlers = {
+	/** Answers a peer that asks for rights. */
+	readonly lend: (to: string, request: LoanRequest) => Promise<LoanReply>;
+	/** Takes rights that a peer hands back; `total` is all that it ever gave. */
+	readonly takeBack: (from: string, budget: string, total: number) => void;
+	/** Answers a peer that asks whether something changed in the store. */
+	readonly answerChanges: (topic: string, after: number, holdMs: number) => Promise<ChangeReply>;
+};
--- a/packages/entry/src/lib/peers/start-peer-links.ts
+++ b/packages/entry/src/lib/peers/start-peer-links.ts
@@ -1,84 +1,56 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {splitAddress} from '@deckwheel/core';
-import {openMesh, type Identity, type Mesh} from '@deckwheel/mesh';
+import {openMesh, type Mesh} from '@deckwheel/mesh';
 import type {ListedPeer} from '../../adapter/listed-peer.js';
 import type {Log} from '../../adapter/log.js';
 import type {PeerDirectory} from '../../adapter/peer-directory.js';
-import type {LoanReply} from '../lending/loan-reply.js';
-import type {LoanRequest} from '../lending/loan-request.js';
-import type {ChangeReply} from '../store-changes/change-reply.js';
-import {peerMessageSchema} from './peer-message-schema.js';
+import {createPeerAnswerer} from './create-peer-answerer.js';
+import {createPeerList} from './create-peer-list.js';
+import type {PeerHandlers} from './peer-handlers.js';
 import type {PeerLinks} from './peer-links.js';
 
-const registerPauseMs = 500;
+/** Between two calls to a directory that is out of reach, in ms. Chosen without a measurement. */
+const retryPauseMs = 500;
 
-/** The directory is not read more often than this for a holder that is not listed. */
+/**
+The directory is not read more often than this for a holder that is not listed or a peer that is silent, in ms, so that
+a death of many hosts brings one call and not one for each. Chosen without a measurement.
+*/
 const listPauseMs = 2000;
 
-/** Hosts that start together are all listed after this time. */
+/** Hosts that start together are all listed after this time, in ms. Chosen without a measurement. */
 const settleMs = 1000;
 
-/** When the directory is read once more after that, for hosts that came late. */
+/** When the directory is read once more after that, for hosts that came late, in ms. Chosen without a measurement. */
 const readAgainMs = 4000;
 
-/** A peer that did not answer is not counted on for this long. */
-const suspicionMs = 3000;
-
-type Options = {
+type Options = PeerHandlers & {
 	readonly self: ListedPeer;
-	readonly hall: string;
 	readonly directory: PeerDirectory;
-	/** Answers a peer that asks for rights. */
-	readonly lend: (to: string, request: LoanRequest) => Promise<LoanReply>;
-	/** Takes rights that a peer hands back; `total` is all that it ever gave. */
-	readonly takeBack: (from: string, budget: string, total: number) => void;
-	/** Answers a peer that asks whether something changed in the store. */
-	readonly answerChanges: (topic: string, after: number, holdMs: number) => Promise<ChangeReply>;
 	readonly log: Log;
 	/** Monotonic ms. */
 	readonly now: () => number;
 };
 
-/** Lists this host in the directory, listens for peers, and keeps the links to them. */
-export const startPeerLinks = ({self, hall, directory, lend, takeBack, answerChanges, log, now}: Options): PeerLinks => {
+/**
+Lists this host in the directory, listens for peers, and keeps the links to them.
+
+It owns the links (by `mesh`) and the list of peers; who of the hall is counted on is decided by `viewHall`.
+*/
+export const startPeerLinks = ({self, directory, log, now, ...handlers}: Options): PeerLinks => {
+	const peers = createPeerList(self, now);
+	const answer = createPeerAnswerer({...handlers, holder: self.holder, log});
 	let mesh: Mesh | undefined;
-	/** This host as its peers find it. */
-	let listed = self;
-	let peers: ReadonlyMap<string, ListedPeer> = new Map();
 	let listAgainAt = 0;
 	let isClosed = false;
 	let isSettled = false;
-	const suspectedUntil = new Map<string, number>();
-	let hallPeers: readonly ListedPeer[] = [self];
-	let hallSize = 1;
-	/** When the hall's peers have to be found again; monotonic ms. */
-	let hallChangesAt = 0;
 
 	const list = async (): Promise<void> => {
 		const found = await directory.list();
 		if (found) {
-			peers = new Map(found.map(peer => [peer.holder, peer]));
-			hallChangesAt = 0;
-			log('peers_listed', {count: peers.size});
-		}
-	};
-
-	// Suspicions end with time, so the hall is looked over again when the first of them does.
-	const findHallPeers = (): void => {
-		if (now() < hallChangesAt) {
-			return;
+			peers.setListed(found);
+			log('peers_listed', {count: found.length});
 		}
-
-		for (const [address, until] of suspectedUntil) {
-			if (until <= now()) {
-				suspectedUntil.delete(address);
-			}
-		}
-
-		const near = [...peers.values()].filter(peer => peer.hall === hall && peer.address !== listed.address);
-		hallSize = near.length + 1;
-		hallPeers = [listed, ...near.filter(({address}) => !suspectedUntil.has(address))];
-		hallChangesAt = Math.min(Number.POSITIVE_INFINITY, ...suspectedUntil.values());
 	};
 
 	const relist = (): void => {
@@ -88,25 +60,6 @@
 		}
 	};
 
-	const answer = async (from: Identity, body: unknown): Promise<unknown> => {
-		const message = peerMessageSchema.safeParse(body);
-		if (!message.success) {
-			return undefined;
-		}
-
-		const {data} = message;
-		if (data.type === 'hand_back') {
-			takeBack(from.incarnation, data.budget, data.total);
-			return {};
-		}
-
-		if (data.type === 'news') {
-			return answerChanges(data.topic, data.after, data.holdMs);
-		}
-
-		return {lender: listed.holder, ...await lend(from.incarnation, data)};
-	};
-
 	/** Calls the directory until it answers, or this host closes. */
 	const untilDone = async <T>(ask: () => Promise<T | undefined>): Promise<T | undefined> => {
 		for (;;) {
@@ -115,7 +68,7 @@
 				return answered;
 			}
 
-			await sleep(registerPauseMs);
+			await sleep(retryPauseMs);
 		}
 	};
 
@@ -123,13 +76,12 @@
 	const listen = async (secret: string): Promise<void> => {
 		const {host, port} = splitAddress(self.address);
 		mesh = await openMesh({
-			self: {incarnation: self.holder, hall},
+			self: {incarnation: self.holder, hall: self.hall},
 			secret,
 			listen: {host, port},
 			handlers: {onRequest: answer, onMessage: () => undefined},
 		});
-		listed = {...self, address: `${host}:${mesh.port}`};
-		hallChangesAt = 0;
+		peers.setSelf({...self, address: `${host}:${mesh.port}`});
 	};
 
 	const join = async (): Promise<void> => {
@@ -139,7 +91,7 @@
 		}
 
 		await listen(secret);
-		await untilDone(async () => await directory.register(listed) || undefined);
+		await untilDone(async () => await directory.register(peers.self()) || undefined);
 		await list();
 		await sleep(settleMs, undefined, {ref: false});
 		await list();
@@ -152,25 +104,19 @@
 	return {
 		mesh: () => mesh,
 		peerOf(holder) {
-			const peer = peers.get(holder);
+			const peer = peers.ofHolder(holder);
+			// Names without a `#` stand for lives that have ended.
 			if (!peer && holder.includes('#')) {
 				relist();
 			}
 
 			return peer;
 		},
-		hallPeers() {
-			findHallPeers();
-			return hallPeers;
-		},
-		hallSize() {
-			findHallPeers();
-			return hallSize;
-		},
+		hallPeers: () => peers.hall().peers,
+		hallSize: () => peers.hall().size,
 		isSettled: () => isSettled,
 		suspect(address) {
-			suspectedUntil.set(address, now() + suspicionMs);
-			hallChangesAt = 0;
+			peers.suspect(address);
 			relist();
 		},
 		async close() {
--- a/packages/entry/src/lib/request/host-services.ts
+++ b/packages/entry/src/lib/request/host-services.ts
@@ -1,9 +1,9 @@
-import type {Bounds} from '../../adapter/bounds.js';
 import type {FleetConfig} from '../../config/fleet-config.js';
 import type {HeaderNames} from '../../adapter/header-names.js';
 import type {ListedEndpoint} from '../../adapter/listed-endpoint.js';
 import type {Log} from '../../adapter/log.js';
 import type {Schedule} from '../../adapter/schedule.js';
+import type {RetryLimiter} from '../host/retry-limiter.js';
 import type {ConnectionPool} from '../sending/connection-pool.js';
 import type {EndpointChooser} from '../choice/endpoint-chooser.js';
 import type {HallWatch} from '../hall-health/hall-watch.js';
@@ -25,10 +25,7 @@
 	readonly halls: HallWatch;
 	readonly rights: RightsKeeper;
 	readonly pool: ConnectionPool;
-	readonly bounds: Bounds;
-	/** Whether a service may get one more repeat now; takes it if so. */
-	readonly mayRepeat: (service: string) => boolean;
-	readonly noteRequest: (service: string) => void;
+	readonly retries: RetryLimiter;
 	/** For an endpoint to accept a connection, in ms. */
 	readonly connectMs: number;
 	readonly schedule: Schedule;
--- a/packages/entry/src/lib/request/run-request.ts
+++ b/packages/entry/src/lib/request/run-request.ts
@@ -90,7 +90,7 @@
 			return next.type;
 		}
 
-		const isObtained = host.mayRepeat(service) && (next.needs === 'retry' || await request.reserveRun());
+		const isObtained = host.retries.mayRepeat(service) && (next.needs === 'retry' || await request.reserveRun());
 		return isObtained ? next.type : next.otherwise;
 	};
 
--- a/packages/entry/src/lib/request/serve-request.ts
+++ b/packages/entry/src/lib/request/serve-request.ts
@@ -79,7 +79,7 @@
 	}
 
 	for (const {service} of admitted.value.route.services) {
-		host.noteRequest(service);
+		host.retries.noteRequest(service);
 	}
 
 	await serveReceived({
--- a/packages/entry/src/lib/rights-store/create-slot-writer.ts
+++ b/packages/entry/src/lib/rights-store/create-slot-writer.ts
@@ -1,31 +1,22 @@
 import {setTimeout as sleep} from 'node:timers/promises';
-import {
-	planDraw, slotOfBudget, type BudgetRights, type DrawRequest, type StoreView, transferred,
-} from '@deckwheel/ledger';
+import {slotOfBudget, type BudgetRights, type StoreView} from '@deckwheel/ledger';
 import type {Log} from '../../adapter/log.js';
 import type {RightsStore} from '../../adapter/rights-store.js';
-import type {StoredRights} from '../../adapter/stored-rights.js';
 import type {Accounts} from '../rights/accounts.js';
 import type {BudgetLimits} from '../rights/budget-limits.js';
-import {demandRate} from '../rights/demand-rate.js';
-import {prepareRights} from './prepare-rights.js';
+import {createSlotCache} from './create-slot-cache.js';
+import type {KnownSlot} from './known-slot.js';
+import {planSlotWrite} from './plan-slot-write.js';
 import {slotCount} from './slot-count.js';
 import type {SlotWriter} from './slot-writer.js';
 import type {StoreState} from './store-state.js';
 
+/** Writes of one turn that may meet a conflict before the turn is given up; the next turn tries again. Chosen without a measurement. */
 const maxConflicts = 8;
 
-/** After a second conflict, writers that met spread over this time, in ms, and more with each further one. */
+/** After a second conflict, writers that met spread over this time, in ms, and more with each further one (e9c77d2; not measured alone). */
 const conflictPauseMs = 10;
 
-/** A look at the store before a write is worth it when what is known is older than this, in ms. */
-const glanceAfterMs = 200;
-
-/** The store answers in a few ms; where it is slow, the write itself tells. */
-const glanceTimeoutMs = 100;
-
-type Known = StoredRights & {/** Monotonic ms. */ readonly readAt: number};
-
 type Options = {
 	readonly host: string;
 	readonly holder: string;
@@ -42,58 +33,20 @@
 	readonly now: () => number;
 };
 
-/** Creates the writer of this host's rights. A write states totals, so that one whose answer was lost can be made again. */
+/**
+Creates the writer of this host's rights. A write states totals, so that one whose answer was lost can be made again.
+
+It owns what is known of the store's objects (`createSlotCache`) and the writes under way; what is written is decided by
+`planSlotWrite`.
+*/
 export const createSlotWriter = ({host, holder, store, state, accounts, limits, isConcerned, wants, log, now}: Options): SlotWriter => {
-	const known = new Map<number, Known>();
+	const cache = createSlotCache(store, state, now);
 	const busy = new Map<number, Promise<boolean>>();
 
 	const slotOf = (budget: string): number => slotOfBudget(budget, slotCount);
 	const limitsOf = (slot: number): ReadonlyMap<string, number> =>
 		new Map([...limits().byBudget].filter(([budget]) => slotOf(budget) === slot));
 
-	const note = (slot: number, stored: StoredRights): Known => {
-		const noted = {...stored, readAt: now()};
-		known.set(slot, noted);
-		return noted;
-	};
-
-	const readSlot = async (slot: number): Promise<Known | undefined> => {
-		const outcome = await store.read(`slot-${slot}`);
-		state.note(outcome.ok);
-		return outcome.ok ? note(slot, outcome.value) : undefined;
-	};
-
-	// Most writes would meet a change of another hall. Of what a cheap look shows, only the newer is taken, and its age is
-	// not known to be less than that of what was known before.
-	const lookFirst = async (slot: number, stored: Known): Promise<Known> => {
-		if (!state.isUp() || now() - stored.readAt < glanceAfterMs) {
-			return stored;
-		}
-
-		const seen = await store.glance(`slot-${slot}`, glanceTimeoutMs);
-		const latest = known.get(slot) ?? stored;
-		if (!seen || seen.revision <= latest.revision) {
-			return latest;
-		}
-
-		const noted = {...seen, readAt: latest.readAt};
-		known.set(slot, noted);
-		return noted;
-	};
-
-	const drawRequestOf = (budget: string, rights: BudgetRights): DrawRequest => {
-		const account = accounts.of(budget);
-		return {
-			budget,
-			granted: account.granted,
-			transferred: transferred(account),
-			settled: account.settled,
-			rate: demandRate(account),
-			billed: account.settled,
-			wants: view => wants(budget)(view, rights),
-		};
-	};
-
 	const takeGrant = (budget: string, granted: number, rest: number | undefined): void => {
 		const drawn = granted - accounts.of(budget).granted;
 		accounts.step(budget, {type: 'granted', total: granted});
@@ -104,21 +57,18 @@
 		}
 	};
 
-	const writeSlot = async (slot: number, stored: Known): Promise<'done' | 'again' | 'failed'> => {
-		const slotLimits = limitsOf(slot);
-		const prepared = prepareRights(stored.rights, {
-			host, holder, limits: slotLimits, version: limits().version,
+	const writeSlot = async (slot: number, known: KnownSlot): Promise<'done' | 'again' | 'failed'> => {
+		const plan = planSlotWrite({
+			host, holder, rights: known.rights, limits: limitsOf(slot), version: limits().version, accountOf: accounts.of, isConcerned, wants,
 		});
-		const requests = [...slotLimits.keys()].filter(budget => isConcerned(budget)).map(budget => drawRequestOf(budget, prepared.budgets[budget]!));
-		const plan = planDraw(prepared, holder, 0, requests);
 		if (plan.type === 'deposed') {
 			return 'failed';
 		}
 
-		const outcome = await store.write(`slot-${slot}`, plan.rights, stored.revision);
+		const outcome = await store.write(`slot-${slot}`, plan.rights, known.revision);
 		if (outcome.ok) {
 			state.note(true);
-			note(slot, outcome.value);
+			cache.note(slot, outcome.value);
 			for (const {budget, granted} of plan.grants) {
 				takeGrant(budget, granted, plan.rest.get(budget));
 			}
@@ -127,7 +77,7 @@
 		}
 
 		if (outcome.error.type === 'conflict') {
-			note(slot, outcome.error.now);
+			cache.note(slot, outcome.error.now);
 			return 'again';
 		}
 
@@ -137,8 +87,12 @@
 
 	const flushSlot = async (slot: number): Promise<boolean> => {
 		for (let tries = 0; tries < maxConflicts; tries++) {
-			const stored = known.get(slot) ?? await readSlot(slot);
-			const result = stored ? await writeSlot(slot, tries === 0 ? await lookFirst(slot, stored) : stored) : 'failed';
+			const known = cache.get(slot) ?? await cache.read(slot);
+			if (!known) {
+				return false;
+			}
+
+			const result = await writeSlot(slot, tries === 0 ? await cache.refresh(slot, known) : known);
 			if (result !== 'again') {
 				return result === 'done';
 			}
@@ -152,12 +106,12 @@
 	return {
 		slotOf,
 		rightsOf(budget) {
-			const rights = known.get(slotOf(budget))?.rights.budgets[budget];
+			const rights = cache.get(slotOf(budget))?.rights.budgets[budget];
 			const {byBudget, version} = limits();
 			const limit = byBudget.get(budget);
 			return rights && limit !== undefined && version >= (rights.limitVersion ?? 0) ? {...rights, limit} : rights;
 		},
-		ageOf: budget => now() - (known.get(slotOf(budget))?.readAt ?? 0),
+		ageOf: budget => now() - (cache.get(slotOf(budget))?.readAt ?? 0),
 		isBusy: slot => busy.has(slot),
 		async idle(slot) {
 			await busy.get(slot);
--- a/packages/entry/src/start-entry-host.ts
+++ b/packages/entry/src/start-entry-host.ts
@@ -1,159 +1,95 @@
-import {createServer, type Server} from 'node:http';
 import {performance} from 'node:perf_hooks';
-import {listenAt} from '@deckwheel/host-kit';
-import {stepRetryWindow, type RetryWindow} from '@deckwheel/routing';
+import {setTimeout as sleep} from 'node:timers/promises';
+import type {FleetConfig} from './config/fleet-config.js';
 import {defaultTimeouts} from './default-timeouts.js';
 import type {EntryHostOptions} from './entry-host-options.js';
 import type {EntryHost} from './entry-host.js';
-import type {FleetConfig} from './config/fleet-config.js';
-import {createConnectionPool} from './lib/sending/create-connection-pool.js';
 import {createEndpointChooser} from './lib/choice/create-endpoint-chooser.js';
-import {createLoanClient} from './lib/lending/create-loan-client.js';
-import {createChangeBoard} from './lib/store-changes/create-change-board.js';
-import {createStoreChanges} from './lib/store-changes/create-store-changes.js';
-import {createRightsKeeper} from './lib/rights/create-rights-keeper.js';
-import type {HostServices} from './lib/request/host-services.js';
+import {createOpenRequests} from './lib/host/create-open-requests.js';
+import {createRetryLimiter} from './lib/host/create-retry-limiter.js';
+import {newHolder} from './lib/host/new-holder.js';
 import {scheduleByTimer} from './lib/host/schedule-by-timer.js';
+import {startHealthWatch} from './lib/host/start-health-watch.js';
+import {startServers} from './lib/host/start-servers.js';
+import {startSharing} from './lib/host/start-sharing.js';
+import type {HostServices} from './lib/request/host-services.js';
 import {serveRequest} from './lib/request/serve-request.js';
-import {probeAddress} from './lib/hall-health/probe-address.js';
-import {startHallWatch} from './lib/hall-health/start-hall-watch.js';
-import {startLatenessWatch} from './lib/own-health/start-lateness-watch.js';
-import {startPeerLinks} from './lib/peers/start-peer-links.js';
-
-/** Callers' heads are bounded here once; the configuration's own bound is lower. */
-const maxHeaderBytes = 65_536;
+import {createConnectionPool} from './lib/sending/create-connection-pool.js';
 
-/** After the signal to stop, new connections may still come for as long as the balancer takes to notice. */
+/** After the signal to stop, new connections may still come for as long as the balancer takes to notice, in ms. Chosen without a measurement. */
 const lingerMs = 3000;
-const pollMs = 50;
 
-/** Left of the grace for handing rights back, in ms. */
-const handBackMs = 1000;
+/** Left of the time to stop for giving rights back, in ms. Chosen without a measurement. */
+const giveBackMs = 1000;
+
+const budgetsOf = ({organisationsByKey}: FleetConfig): number =>
+	new Set([...organisationsByKey.values()].map(({name}) => name)).size;
+
+/**
+Starts an entry host. It is ready once it has a configuration and a list of endpoints.
 
-/** Starts an entry host. It is ready once it has a configuration and a list of endpoints. */
-export const startEntryHost = async ({host, hall, listen, bounds, headers: headerNames, rightsStore, peers, log, timeouts = defaultTimeouts, schedule = scheduleByTimer}: EntryHostOptions): Promise<EntryHost> => {
+It owns the configuration in force; each other state belongs to one of the tasks that are put together here.
+*/
+export const startEntryHost = async (options: EntryHostOptions): Promise<EntryHost> => {
+	const {host, hall, listen, bounds, headers: headerNames, rightsStore, peers: directory, log, timeouts = defaultTimeouts, schedule = scheduleByTimer} = options;
 	const now = (): number => performance.now();
-	const holder = `${host}#${Date.now().toString(36)}${Math.floor(Math.random() * 46_656).toString(36)}`;
+	const holder = newHolder(host);
+	const open = createOpenRequests(now);
 	const pool = createConnectionPool(now);
-	const loanClient = createLoanClient({
-		mesh: () => links.mesh(),
-		receivedFrom: (budget, lender) => rights.receivedFrom(budget, lender),
-		onLoan(budget, from, total) {
-			rights.receive(budget, from, total);
-		},
-		onSilence(address) {
-			links.suspect(address);
-		},
-		askTimeoutMs: timeouts.peerMs,
-		log,
-		now,
+	const sharing = startSharing({
+		host, hall, holder, address: listen.peers, rightsStore, directory, timeouts, log, now,
 	});
-	const rights = createRightsKeeper({
-		host, holder, store: rightsStore, loanClient, links: () => links, timeouts, log, now,
-	});
-	const board = createChangeBoard(now);
-	const links = startPeerLinks({
-		self: {holder, address: listen.peers, hall},
-		hall,
-		directory: peers,
-		lend: async (to, request) => rights.lend(to, request),
-		takeBack(from, budget, total) {
-			rights.takeBack(budget, from, total);
-		},
-		answerChanges: board.answer,
-		log,
-		now,
-	});
-	const storeChanges = createStoreChanges({holder, board, links: () => links});
-	const lateness = startLatenessWatch({
-		boundMs: bounds.relayMs, open: () => open, log, now,
-	});
-	const halls = startHallWatch({
-		hall, probe: async address => probeAddress(address, timeouts.probeMs), isOverloaded: lateness.isOverloaded, log, now,
+	const {rights} = sharing;
+	const health = startHealthWatch({
+		hall, bounds, timeouts, open: open.count, log, now,
 	});
+	const {lateness, halls} = health;
 	const chooser = createEndpointChooser(hall, halls.isLost, now);
-	const windows = new Map<string, RetryWindow>();
 	let config: FleetConfig | undefined;
 	let isListed = false;
 	let isStopping = false;
-	let open = 0;
-
-	const stepWindow = (service: string, event: 'request' | 'repeat'): boolean => {
-		const {window, isAllowed} = stepRetryWindow(windows.get(service), event, bounds, now());
-		windows.set(service, window);
-		return isAllowed;
-	};
 
 	// Callers whose connections are closed come back through the balancer, which sends them to hosts that are ready.
 	const isClosing = (): boolean => isStopping || lateness.isOverloaded();
 
-	const context: HostServices = {
+	const services: HostServices = {
 		config: () => config,
 		isClosing,
 		isOverloaded: lateness.isOverloaded,
 		isShedding: lateness.isShedding,
-		noteConnect(endpoint, tookMs) {
-			if (endpoint.hall === hall) {
-				lateness.noteConnect(tookMs);
-			}
-		},
+		noteConnect: health.noteConnect,
 		headerNames,
 		chooser,
 		halls,
 		rights,
 		pool,
-		bounds,
-		mayRepeat: service => stepWindow(service, 'repeat'),
-		noteRequest(service) {
-			stepWindow(service, 'request');
-		},
+		retries: createRetryLimiter(bounds, now),
 		connectMs: timeouts.connectMs,
 		schedule,
 		log,
 		now,
 	};
-
-	const callers: Server = createServer({maxHeaderSize: maxHeaderBytes, keepAliveTimeout: 15_000, noDelay: true}, (req, res) => {
-		open++;
-		res.once('close', () => {
-			open--;
-		});
-		if (isClosing()) {
-			res.shouldKeepAlive = false;
-		}
-
-		void serveRequest(req, res, context);
-	});
-	const ready = createServer((_req, res) => {
-		const isReady = config !== undefined && isListed && !isClosing();
-		res.writeHead(isReady ? 200 : 503, {'content-length': 0});
-		res.end();
+	const servers = await startServers({
+		listen,
+		open,
+		serve: async (req, res) => serveRequest(req, res, services),
+		isReady: () => config !== undefined && isListed && !isClosing(),
+		isClosing,
 	});
-	const [callersAddress, readyAddress] = await Promise.all([listenAt(callers, listen.callers), listenAt(ready, listen.ready)]);
 	log('started', {holder, hall});
 
-	const hasEnded = async (until: number): Promise<void> => new Promise(resolve => {
-		const poll = setInterval(() => {
-			if (open === 0 || now() > until) {
-				clearInterval(poll);
-				resolve();
-			}
-		}, pollMs);
-	});
-
 	return {
-		storeChanges,
-		addresses: {callers: callersAddress, ready: readyAddress},
+		storeChanges: sharing.storeChanges,
+		addresses: servers.addresses,
 		configure(next) {
 			if (config !== undefined && next.version <= config.version) {
 				return;
 			}
 
 			config = next;
-			callers.keepAliveTimeout = next.limits.idleTimeoutMs;
-			callers.headersTimeout = next.limits.headerTimeoutMs;
+			servers.limit(next.limits);
 			rights.configure(next);
-			log('configured', {version: next.version, routes: next.routes.length, budgets: new Set([...next.organisationsByKey.values()].map(({name}) => name)).size});
+			log('configured', {version: next.version, routes: next.routes.length, budgets: budgetsOf(next)});
 		},
 		listEndpoints(endpoints) {
 			isListed = true;
@@ -163,34 +99,25 @@
 			log('endpoints_listed', {count: endpoints.length, leaving: endpoints.filter(({isLeaving}) => isLeaving).length});
 		},
 		async kill() {
-			rights.close();
-			lateness.close();
-			halls.close();
-			for (const server of [callers, ready]) {
-				server.closeAllConnections();
-				server.close();
-			}
-
+			health.close();
+			servers.kill();
 			pool.keepOnly(new Set());
-			await links.close();
+			await sharing.close();
 		},
 		async stop() {
 			isStopping = true;
-			const signalledAt = now();
-			log('stopping', {open});
-			callers.closeIdleConnections();
-			await new Promise(resolve => {
-				setTimeout(resolve, lingerMs);
-			});
-			callers.closeIdleConnections();
+			const endBy = now() + bounds.stopGraceMs - giveBackMs;
+			log('stopping', {open: open.count()});
+			servers.closeIdleConnections();
+			await sleep(lingerMs);
+			servers.closeIdleConnections();
 			await rights.retire();
-			await hasEnded(signalledAt + bounds.stopGraceMs - handBackMs);
+			await open.untilNone(endBy);
+			// What open requests had reserved is free now, and goes back as well.
 			await rights.retire();
-			rights.close();
-			lateness.close();
-			halls.close();
-			await links.close();
-			log('stopped', {open});
+			health.close();
+			await sharing.close();
+			log('stopped', {open: open.count()});
 		},
 	};
 };
--- a/packages/ledger/src/index.ts
+++ b/packages/ledger/src/index.ts
@@ -8,6 +8,7 @@
 export type {Claim} from './claim.js';
 export {decide} from './decide.js';
 export {drawAmount} from './draw-amount.js';
+export type {DrawPlan} from './draw-plan.js';
 export type {DrawRequest} from './draw-request.js';
 export {emptyLedger} from './empty-ledger.js';
 export {holdAheadByShare} from './hold-ahead-by-share.js';
