--- a/packages/entry/src/lib/hall-health/start-hall-watch.ts
+++ b/packages/entry/src/lib/hall-health/start-hall-watch.ts
@@ -1,20 +1,21 @@
 import type {ListedEndpoint} from '../../adapter/listed-endpoint.js';
 import type {Log} from '../../adapter/log.js';
+import {createOpenAttempts} from './create-open-attempts.js';
 import type {HallReachEvent} from './hall-reach-event.js';
 import type {HallReach} from './hall-reach.js';
 import type {HallWatch} from './hall-watch.js';
-import type {OpenAttempt} from './open-attempt.js';
 import {stepHallReach} from './step-hall-reach.js';
 
+/** How often each hall is looked at, in ms: a third of the silence that brings a probe. */
 const tickMs = 100;
 
+/** Endpoints that one probe of a hall calls at once: a single one may be gone alone. Chosen without a measurement. */
+const probesAtOnce = 3;
+
 const inReach: HallReach = {
 	isLost: false, heardAt: 0, isDoubted: false, isProbing: false, probeAgainAt: 0,
 };
 
-/** A single endpoint may be gone alone. */
-const probesAtOnce = 3;
-
 const groupByHall = (endpoints: readonly ListedEndpoint[]): ReadonlyMap<string, readonly ListedEndpoint[]> => {
 	const byHall = new Map<string, ListedEndpoint[]>();
 	for (const endpoint of endpoints) {
@@ -45,10 +46,13 @@
 /**
 Starts the task that finds out when another hall can no longer be reached, so that requests stay away from all its
 endpoints at once, and those that wait for one there are made again elsewhere.
+
+It owns what is known of each hall and the list of tries under way; when to probe and what a probe means is decided by
+`stepHallReach`.
 */
 export const startHallWatch = ({hall: ownHall, probe, isOverloaded, log, now}: Options): HallWatch => {
 	const reaches = new Map<string, HallReach>();
-	const attempts = new Set<OpenAttempt>();
+	const attempts = createOpenAttempts();
 	let byHall: ReadonlyMap<string, readonly ListedEndpoint[]> = new Map();
 
 	const reachOf = (hall: string): HallReach => reaches.get(hall) ?? inReach;
@@ -59,11 +63,9 @@
 		return isProbeDue;
 	};
 
-	const abandonAttempts = (hall: string): void => {
-		for (const {endpoint, abandon} of attempts) {
-			if (endpoint.hall === hall) {
-				abandon?.();
-			}
+	const stepOther = (hall: string, event: HallReachEvent): void => {
+		if (hall !== ownHall) {
+			step(hall, event);
 		}
 	};
 
@@ -78,24 +80,13 @@
 		}
 
 		if (!isReached) {
-			abandonAttempts(hall);
-		}
-	};
-
-	const oldestWait = (hall: string): number | undefined => {
-		let oldest: number | undefined;
-		for (const {endpoint, sentAt} of attempts) {
-			if (endpoint.hall === hall) {
-				oldest = Math.min(oldest ?? sentAt, sentAt);
-			}
+			attempts.abandon(hall);
 		}
-
-		return oldest;
 	};
 
 	const timer = setInterval(() => {
 		for (const hall of byHall.keys()) {
-			if (hall !== ownHall && step(hall, {type: 'ticked', waitsSince: oldestWait(hall)})) {
+			if (hall !== ownHall && step(hall, {type: 'ticked', waitsSince: attempts.waitsSince(hall)})) {
 				void probeHall(hall);
 			}
 		}
@@ -106,21 +97,12 @@
 			byHall = groupByHall(endpoints.filter(({isLeaving}) => !isLeaving));
 		},
 		isLost: hall => reachOf(hall).isLost,
-		open(attempt) {
-			attempts.add(attempt);
-			return () => {
-				attempts.delete(attempt);
-			};
-		},
+		open: attempts.add,
 		heard(hall) {
-			if (hall !== ownHall) {
-				step(hall, {type: 'heard'});
-			}
+			stepOther(hall, {type: 'heard'});
 		},
 		connectFailed(hall) {
-			if (hall !== ownHall) {
-				step(hall, {type: 'connect_failed'});
-			}
+			stepOther(hall, {type: 'connect_failed'});
 		},
 		close() {
 			clearInterval(timer);
--- a/packages/entry/src/lib/own-health/start-lateness-watch.ts
+++ b/packages/entry/src/lib/own-health/start-lateness-watch.ts
@@ -5,12 +5,13 @@
 import {stepLateness} from './step-lateness.js';
 import {stepShedding} from './step-shedding.js';
 
+/** How often the lateness of timers is sampled, in ms: ten samples weigh as one average (`stepLateness`). */
 const sampleEveryMs = 100;
 
-/** Within a hall, a connection over a link that keeps up is faster than this. While requests are turned away there are few of them. */
+/** Within a hall, a connection over a link that keeps up is faster than this, in ms. While requests are turned away there are few of them (7162fe1). */
 const fastConnectMs = 10;
 
-/** After this time without a new connection, nothing is known of the link. */
+/** After this time without a new connection, in ms, nothing is known of the link. Chosen without a measurement. */
 const connectMemoryMs = 1000;
 
 type Options = {
@@ -32,9 +33,8 @@
 		timerMs: 0, connectMs: 0, isLate: false, isOverloaded: false,
 	};
 	let sampledAt = now();
-	let connectedAt = now();
-	/** How long the last connection took. */
-	let connectMs = 0;
+	/** When the last connection came up, and how long it took, in monotonic ms and ms. */
+	let lastConnect = {at: now(), tookMs: 0};
 	/** The most requests that are kept open. */
 	let limit: number | undefined;
 
@@ -53,7 +53,7 @@
 		const lateMs = Math.max(0, now() - sampledAt - sampleEveryMs);
 		sampledAt = now();
 		step({type: 'timer_fired', lateMs});
-		if (connectMs < fastConnectMs || now() - connectedAt > connectMemoryMs) {
+		if (lastConnect.tookMs < fastConnectMs || now() - lastConnect.at > connectMemoryMs) {
 			step({type: 'link_calm'});
 		}
 
@@ -62,8 +62,7 @@
 	timer.unref();
 	return {
 		noteConnect(tookMs) {
-			connectedAt = now();
-			connectMs = tookMs;
+			lastConnect = {at: now(), tookMs};
 			step({type: 'connected', tookMs});
 		},
 		isOverloaded: () => lateness.isOverloaded,
--- a/packages/entry/src/lib/rights/start-rights-balance.ts
+++ b/packages/entry/src/lib/rights/start-rights-balance.ts
@@ -8,18 +8,17 @@
 import {viewRights} from '../rights-store/view-rights.js';
 import {viewTrustMs} from '../rights-store/view-trust-ms.js';
 import type {RightsBalance} from './rights-balance.js';
+import {mayDraw} from './may-draw.js';
 import {planRights} from './plan-rights.js';
 import {demandRate} from './demand-rate.js';
 import type {Accounts} from './accounts.js';
 
+/** How often rights are looked at, in ms. Chosen without a measurement. */
 const tickMs = 500;
 
-/** A slot is not written more often than this, unless a request waits for it. */
+/** A slot is not written more often than this, in ms, unless a request waits for it: it spares calls to the store (d59882d). */
 const writeGapMs = 1500;
 
-/** A store that was seen to have nothing left is not asked again for this long, in ms: others give back in the meantime. */
-const emptyTrustMs = 300;
-
 type Options = {
 	/** The name of this life of the host. */
 	readonly holder: string;
@@ -111,12 +110,9 @@
 		timer = setInterval(tick, tickMs);
 	}, Math.random() * tickMs);
 	return {
-		// A draw is of use unless the store was seen to have nothing left a moment ago.
-		mayDraw(budget) {
-			const rights = writer.rightsOf(budget);
-			const isSeenEmpty = rights !== undefined && writer.ageOf(budget) < emptyTrustMs && unallocated(rights) < 1;
-			return state.mayCall() && !isRetiring() && !isSeenEmpty;
-		},
+		mayDraw: budget => mayDraw({
+			rights: writer.rightsOf(budget), ageMs: writer.ageOf(budget), mayCall: state.mayCall(), isRetiring: isRetiring(),
+		}),
 		close() {
 			clearInterval(timer);
 		},
