--- a/packages/entry/src/lib/request/serve-request.ts
+++ b/packages/entry/src/lib/request/serve-request.ts
@@ -32,8 +32,8 @@
 
 	const result = await runRequest({...received, reserveRun: async () => await reservation.reserve(repeatCost) === undefined}, host);
 	const reserved = reservation.reserved();
-	const {used, charged} = chargeOfResult(result, reserved, admitted.prompt);
-	reservation.settle(charged);
+	const used = chargeOfResult(result, reserved, admitted.prompt);
+	reservation.settle(used);
 	const fields = {
 		route: admitted.route.name, budget, endpoint: result.endpoint, arrivals: result.arrivals, lost_runs: result.lostRuns, reserved, used, reason: result.reason,
 	};
--- a/packages/entry/src/test/end-of-request.test.ts
+++ b/packages/entry/src/test/end-of-request.test.ts
@@ -36,16 +36,16 @@
 } as const;
 
 test('a whole answer costs what was used, and never more than was reserved', t => {
-	t.deepEqual(chargeOfResult(whole, 150, prompt), {used: 120, charged: 120});
-	t.deepEqual(chargeOfResult({...whole, outputTokens: 999}, 150, prompt), {used: 150, charged: 150});
+	t.is(chargeOfResult(whole, 150, prompt), 120);
+	t.is(chargeOfResult({...whole, outputTokens: 999}, 150, prompt), 150);
 });
 
 test('a lost run, an error and a caller that left cost the whole reservation; what did not run costs nothing', t => {
-	t.is(chargeOfResult({...whole, lostRuns: 1}, 200, prompt).charged, 200);
-	t.is(chargeOfResult({...whole, status: 500}, 150, prompt).charged, 150);
-	t.is(chargeOfResult({...whole, outcome: 'caller_left'}, 150, prompt).charged, 150);
-	t.is(chargeOfResult({...whole, outcome: 'not_run'}, 150, prompt).charged, 0);
-	t.is(chargeOfResult({...whole, outcome: 'caller_left', arrivals: 0}, 150, prompt).charged, 0);
+	t.is(chargeOfResult({...whole, lostRuns: 1}, 200, prompt), 200);
+	t.is(chargeOfResult({...whole, status: 500}, 150, prompt), 150);
+	t.is(chargeOfResult({...whole, outcome: 'caller_left'}, 150, prompt), 150);
+	t.is(chargeOfResult({...whole, outcome: 'not_run'}, 150, prompt), 0);
+	t.is(chargeOfResult({...whole, outcome: 'caller_left', arrivals: 0}, 150, prompt), 0);
 });
 
 test('a host that is late, or a request that is over, blames no endpoint for silence', t => {
