--- a/packages/daemon/src/lib/start-draw-task.ts
+++ b/packages/daemon/src/lib/draws/start-draw-task.ts
@@ -3,13 +3,13 @@
 } from '@deckwheel/ledger';
 import type {Bundle} from '@deckwheel/bundle';
 import type {StoreError} from '@deckwheel/store-client';
-import type {Context} from './context.js';
+import type {Context} from '../process/context.js';
+import {repeat} from '../process/repeat.js';
+import type {SlotsTask} from '../slots/slots-task.js';
 import {createDemandMeter} from './create-demand-meter.js';
 import type {DrawOutcome} from './draw-outcome.js';
 import type {DrawTask} from './draw-task.js';
-import {repeat} from './repeat.js';
 import {rightsObjectSchema} from './rights-object-schema.js';
-import type {SlotsTask} from './slots-task.js';
 
 /** Conflicts with other halls' writes to the same object before the draw waits for its next turn. */
 const maxConflicts = 8;
--- a/packages/daemon/src/lib/gateway/create-chat-work.ts
+++ b/packages/daemon/src/lib/gateway/create-chat-work.ts
@@ -1,10 +1,10 @@
 import type {Refusal} from '@deckwheel/core';
-import {chatJob} from '../chat-job.js';
-import {createLiveStream} from '../create-live-stream.js';
-import type {Job} from '../job.js';
-import type {LiveStream} from '../live-stream.js';
-import type {RunJob} from '../run-job.js';
-import {toCompletion} from '../to-completion.js';
+import {chatJob} from '../running/chat-job.js';
+import {createLiveStream} from '../running/create-live-stream.js';
+import type {Job} from '../running/job.js';
+import type {LiveStream} from '../running/live-stream.js';
+import type {RunJob} from '../running/run-job.js';
+import {toCompletion} from './to-completion.js';
 import {badRequest} from './bad-request.js';
 import {gatewayRefusals} from './gateway-refusals.js';
 import {readChat} from './read-chat.js';
--- a/packages/daemon/src/lib/gateway/create-service-work.ts
+++ b/packages/daemon/src/lib/gateway/create-service-work.ts
@@ -1,6 +1,6 @@
 import type {Answer} from '@deckwheel/ledger';
-import type {RunJob} from '../run-job.js';
-import {serviceJob} from '../service-job.js';
+import type {RunJob} from '../running/run-job.js';
+import {serviceJob} from '../running/service-job.js';
 import {gatewayRefusals} from './gateway-refusals.js';
 import type {Work} from './work.js';
 
--- a/packages/daemon/src/lib/gateway/read-chat.ts
+++ b/packages/daemon/src/lib/gateway/read-chat.ts
@@ -1,8 +1,8 @@
 import {
 	fail, parseJson, succeed, type Outcome, type Refusal,
 } from '@deckwheel/core';
-import {chatRequestSchema} from '../chat-request-schema.js';
-import type {ChatRequest} from '../chat-request.js';
+import {chatRequestSchema} from './chat-request-schema.js';
+import type {ChatRequest} from './chat-request.js';
 import {badRequest} from './bad-request.js';
 
 /** Reads a chat completion out of a body. */
--- a/packages/daemon/src/lib/start-membership.ts
+++ b/packages/daemon/src/lib/membership/start-membership.ts
@@ -1,6 +1,7 @@
 import type {Mesh} from '@deckwheel/mesh';
 import {z} from 'zod';
-import type {Context} from './context.js';
+import type {Context} from '../process/context.js';
+import {repeat} from '../process/repeat.js';
 import {isBelievedLost} from './is-believed-lost.js';
 import {hostOfIncarnation} from './host-of-incarnation.js';
 import type {HostStatus} from './host-status.js';
@@ -8,7 +9,6 @@
 import type {MembershipEvent} from './membership-event.js';
 import type {MembershipTask} from './membership-task.js';
 import type {Membership} from './membership.js';
-import {repeat} from './repeat.js';
 import {stepMembership} from './step-membership.js';
 
 /** Heartbeats missed before a host counts as gone. */
--- a/packages/daemon/src/lib/start-bundle.ts
+++ b/packages/daemon/src/lib/operating/start-bundle.ts
@@ -3,9 +3,9 @@
 } from '@deckwheel/bundle';
 import {rankByRendezvous} from '@deckwheel/core';
 import type {Mesh} from '@deckwheel/mesh';
+import type {Context} from '../process/context.js';
+import {repeat} from '../process/repeat.js';
 import type {BundleTask} from './bundle-task.js';
-import type {Context} from './context.js';
-import {repeat} from './repeat.js';
 
 const headKey = 'bundle/head';
 
--- a/packages/daemon/src/lib/start-operators.ts
+++ b/packages/daemon/src/lib/operating/start-operators.ts
@@ -5,15 +5,15 @@
 	accountOf, available, emptyLedger, ranStateOf, slotOfBudget,
 } from '@deckwheel/ledger';
 import Koa, {type Context as KoaContext, type Next} from 'koa';
-import type {AskSlot} from './ask-slot.js';
+import type {AskSlot} from '../slots/ask-slot.js';
+import type {Context} from '../process/context.js';
+import type {Gateway} from '../gateway/gateway.js';
+import {serveApp} from '../process/serve-app.js';
+import type {MembershipTask} from '../membership/membership-task.js';
+import {readKey} from '../gateway/read-key.js';
+import type {RouterTask} from '../placing/router-task.js';
+import type {SlotsTask} from '../slots/slots-task.js';
 import type {BundleTask} from './bundle-task.js';
-import type {Context} from './context.js';
-import type {Gateway} from './gateway.js';
-import {serveApp} from './serve-app.js';
-import type {MembershipTask} from './membership-task.js';
-import {readKey} from './read-key.js';
-import type {RouterTask} from './router-task.js';
-import type {SlotsTask} from './slots-task.js';
 
 const askMs = 3000;
 
--- a/packages/daemon/src/lib/create-peer-handlers.ts
+++ b/packages/daemon/src/lib/peers/create-peer-handlers.ts
@@ -1,15 +1,15 @@
 import {context as traceContext, propagation} from '@opentelemetry/api';
 import type {Identity, MeshHandlers} from '@deckwheel/mesh';
 import type {SlotReply} from '@deckwheel/ledger';
-import type {BundleTask} from './bundle-task.js';
-import type {Context} from './context.js';
-import type {MembershipTask} from './membership-task.js';
+import type {BundleTask} from '../operating/bundle-task.js';
+import type {Context} from '../process/context.js';
+import type {MembershipTask} from '../membership/membership-task.js';
+import {replicaMessageSchema} from '../slots/replica-message-schema.js';
+import type {SlotsTask} from '../slots/slots-task.js';
+import {traceHeaders} from '../process/trace-headers.js';
 import {peerRequestSchema} from './peer-request-schema.js';
 import type {PeerRequest} from './peer-request.js';
 import type {PeerSlotRequest} from './peer-slot-request.js';
-import {replicaMessageSchema} from './replica-message-schema.js';
-import type {SlotsTask} from './slots-task.js';
-import {traceHeaders} from './trace-headers.js';
 
 const maxHops = 2;
 const forwardTimeoutMs = 2500;
--- a/packages/daemon/src/lib/start-router.ts
+++ b/packages/daemon/src/lib/placing/start-router.ts
@@ -10,11 +10,11 @@
 import got from 'got';
 import {LRUCache} from 'lru-cache';
 import {z} from 'zod';
-import type {Context} from './context.js';
+import type {Context} from '../process/context.js';
+import {repeat} from '../process/repeat.js';
 import {createBlockCacheEstimate} from './create-block-cache-estimate.js';
 import type {PlaceRequest} from './place-request.js';
 import type {Place} from './place.js';
-import {repeat} from './repeat.js';
 import type {RouterTask} from './router-task.js';
 
 const pumpEveryMs = 20;
--- a/packages/daemon/src/lib/context.ts
+++ b/packages/daemon/src/lib/process/context.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '@deckwheel/core';
 import type {Platform} from '@deckwheel/store-client';
-import type {DaemonSettings} from '../daemon-settings.js';
+import type {DaemonSettings} from '../../daemon-settings.js';
 import type {Log} from './leveled-log.js';
 import type {Metrics} from './metrics.js';
 import type {Tracing} from './tracing.js';
--- a/packages/daemon/src/lib/create-metrics.ts
+++ b/packages/daemon/src/lib/process/create-metrics.ts
@@ -1,5 +1,5 @@
 import {StatsD} from 'hot-shots';
-import type {DaemonSettings} from '../daemon-settings.js';
+import type {DaemonSettings} from '../../daemon-settings.js';
 import type {Metrics} from './metrics.js';
 
 /** Creates the metrics client. Without an address it counts nothing. */
--- a/packages/daemon/src/lib/create-tracing.ts
+++ b/packages/daemon/src/lib/process/create-tracing.ts
@@ -7,7 +7,7 @@
 import {
 	BasicTracerProvider, BatchSpanProcessor, ConsoleSpanExporter, SimpleSpanProcessor, type ReadableSpan, type SpanExporter, type SpanProcessor,
 } from '@opentelemetry/sdk-trace-base';
-import type {DaemonSettings} from '../daemon-settings.js';
+import type {DaemonSettings} from '../../daemon-settings.js';
 import type {Tracing} from './tracing.js';
 
 const describeSpan = (span: ReadableSpan): string => JSON.stringify({
--- a/packages/daemon/src/lib/create-run-job.ts
+++ b/packages/daemon/src/lib/running/create-run-job.ts
@@ -5,11 +5,11 @@
 import {
 	ranStateOf, slotOfBudget, type Claim, type ClaimRequest, type Run, type SlotReply,
 } from '@deckwheel/ledger';
-import type {AskSlot} from './ask-slot.js';
-import type {Context} from './context.js';
+import type {AskSlot} from '../slots/ask-slot.js';
+import type {Context} from '../process/context.js';
+import type {Place} from '../placing/place.js';
+import type {RouterTask} from '../placing/router-task.js';
 import type {Job} from './job.js';
-import type {Place} from './place.js';
-import type {RouterTask} from './router-task.js';
 import type {RunEnd} from './run-end.js';
 import type {RunJob} from './run-job.js';
 import type {Settler} from './settler.js';
--- a/packages/daemon/src/lib/create-settler.ts
+++ b/packages/daemon/src/lib/running/create-settler.ts
@@ -1,7 +1,7 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {slotOfBudget, type SettleRequest} from '@deckwheel/ledger';
-import type {AskSlot} from './ask-slot.js';
-import type {Context} from './context.js';
+import type {AskSlot} from '../slots/ask-slot.js';
+import type {Context} from '../process/context.js';
 import type {Settler} from './settler.js';
 
 const tryMs = 5000;
--- a/packages/daemon/src/lib/job.ts
+++ b/packages/daemon/src/lib/running/job.ts
@@ -1,6 +1,6 @@
 import {type Run, type Answer} from '@deckwheel/ledger';
-import type {PlaceRequest} from './place-request.js';
-import type {RequestKey} from './request-key.js';
+import type {PlaceRequest} from '../placing/place-request.js';
+import type {RequestKey} from '../gateway/request-key.js';
 import type {RunEnd} from './run-end.js';
 
 /** A caller's request on its way: what it claims, and how it is sent. */
--- a/packages/daemon/src/lib/service-job.ts
+++ b/packages/daemon/src/lib/running/service-job.ts
@@ -1,14 +1,14 @@
 import type {Answer} from '@deckwheel/ledger';
 import got, {type Method} from 'got';
-import type {Caller} from './caller.js';
-import {fingerprint} from './fingerprint.js';
+import type {Caller} from '../gateway/caller.js';
+import {fingerprint} from '../gateway/fingerprint.js';
+import type {RequestOptions} from '../gateway/request-options.js';
+import type {ServiceCall} from '../gateway/service-call.js';
+import {traceHeaders} from '../process/trace-headers.js';
 import {isNeverSent} from './is-never-sent.js';
 import type {Job} from './job.js';
-import type {RequestOptions} from './request-options.js';
 import type {RunEnd} from './run-end.js';
-import type {ServiceCall} from './service-call.js';
 import {streamId} from './stream-id.js';
-import {traceHeaders} from './trace-headers.js';
 
 const connectMs = 1000;
 type Sources = {
--- a/packages/daemon/src/lib/start-recovery.ts
+++ b/packages/daemon/src/lib/running/start-recovery.ts
@@ -1,12 +1,12 @@
 import {
 	claimId, type Claim, type Ledger, type Run,
 } from '@deckwheel/ledger';
-import type {Context} from './context.js';
-import type {MembershipTask} from './membership-task.js';
+import type {Context} from '../process/context.js';
+import type {MembershipTask} from '../membership/membership-task.js';
+import {repeat} from '../process/repeat.js';
+import type {RouterTask} from '../placing/router-task.js';
+import type {SlotsTask} from '../slots/slots-task.js';
 import {readEngineStream} from './read-engine-stream.js';
-import {repeat} from './repeat.js';
-import type {RouterTask} from './router-task.js';
-import type {SlotsTask} from './slots-task.js';
 import {streamId} from './stream-id.js';
 
 const everyMs = 1000;
--- a/packages/daemon/src/lib/ask-slot.ts
+++ b/packages/daemon/src/lib/slots/ask-slot.ts
@@ -1,6 +1,6 @@
 import type {SlotReply} from '@deckwheel/ledger';
 import type {Outcome} from '@deckwheel/core';
-import type {PeerSlotRequest} from './peer-slot-request.js';
+import type {PeerSlotRequest} from '../peers/peer-slot-request.js';
 
 /**
 Asks the primary of a slot in some hall, wherever it is.
--- a/packages/daemon/src/lib/create-ask-slot.ts
+++ b/packages/daemon/src/lib/slots/create-ask-slot.ts
@@ -2,12 +2,12 @@
 import {fail, succeed, type Outcome} from '@deckwheel/core';
 import type {SlotReply} from '@deckwheel/ledger';
 import type {Mesh} from '@deckwheel/mesh';
-import type {AskSlot} from './ask-slot.js';
-import type {Context} from './context.js';
-import type {MembershipTask} from './membership-task.js';
-import type {PeerSlotRequest} from './peer-slot-request.js';
+import type {Context} from '../process/context.js';
+import type {MembershipTask} from '../membership/membership-task.js';
+import type {PeerSlotRequest} from '../peers/peer-slot-request.js';
+import {traceHeaders} from '../process/trace-headers.js';
 import type {SlotsTask} from './slots-task.js';
-import {traceHeaders} from './trace-headers.js';
+import type {AskSlot} from './ask-slot.js';
 
 /** One try at one host. A primary that needs to draw from the store takes longer than one hop. */
 const tryTimeoutMs = 3000;
--- a/packages/daemon/src/lib/create-fetch-rights.ts
+++ b/packages/daemon/src/lib/slots/create-fetch-rights.ts
@@ -1,7 +1,7 @@
 import {rankByRendezvous} from '@deckwheel/core';
 import type {Bundle} from '@deckwheel/bundle';
+import type {Context} from '../process/context.js';
 import type {AskSlot} from './ask-slot.js';
-import type {Context} from './context.js';
 import type {SlotsTask} from './slots-task.js';
 
 const askTimeoutMs = 400;
--- a/packages/daemon/src/lib/create-home-hall-order.ts
+++ b/packages/daemon/src/lib/slots/create-home-hall-order.ts
@@ -1,8 +1,8 @@
 import type {Bundle} from '@deckwheel/bundle';
 import {rankByRendezvous} from '@deckwheel/core';
 import {slotOfBudget} from '@deckwheel/ledger';
-import type {Context} from './context.js';
-import type {MembershipTask} from './membership-task.js';
+import type {Context} from '../process/context.js';
+import type {MembershipTask} from '../membership/membership-task.js';
 import type {SlotsTask} from './slots-task.js';
 
 type Options = {
--- a/packages/daemon/src/lib/create-serve-slot.ts
+++ b/packages/daemon/src/lib/slots/create-serve-slot.ts
@@ -1,9 +1,9 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import type {Refusal} from '@deckwheel/core';
 import type {ClaimRequest, SlotReply} from '@deckwheel/ledger';
-import type {Context} from './context.js';
-import type {DrawTask} from './draw-task.js';
-import type {PeerSlotRequest} from './peer-slot-request.js';
+import type {Context} from '../process/context.js';
+import type {DrawTask} from '../draws/draw-task.js';
+import type {PeerSlotRequest} from '../peers/peer-slot-request.js';
 import type {SlotsTask} from './slots-task.js';
 
 /** Draws tried for one claim: the rest in the store, then what other halls can spare. */
--- a/packages/daemon/src/lib/start-slots.ts
+++ b/packages/daemon/src/lib/slots/start-slots.ts
@@ -2,11 +2,11 @@
 	holderName, newReplica, planPair, stepReplica, type Pair, type PairMap, type PairView, type Replica, type ReplicaEffect, type ReplicaEvent, type SlotReply,
 } from '@deckwheel/ledger';
 import type {Mesh} from '@deckwheel/mesh';
-import type {Context} from './context.js';
-import {hostOfIncarnation} from './host-of-incarnation.js';
-import type {MembershipTask} from './membership-task.js';
+import type {Context} from '../process/context.js';
+import {hostOfIncarnation} from '../membership/host-of-incarnation.js';
+import type {MembershipTask} from '../membership/membership-task.js';
+import {repeat} from '../process/repeat.js';
 import {pairMapSchema} from './pair-map-schema.js';
-import {repeat} from './repeat.js';
 import type {SlotsTask} from './slots-task.js';
 
 const planEveryMs = 200;
--- a/packages/daemon/src/test/is-believed-lost.test.ts
+++ b/packages/daemon/src/test/is-believed-lost.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {isBelievedLost} from '../lib/is-believed-lost.js';
+import {isBelievedLost} from '../lib/membership/is-believed-lost.js';
 
 const evidence = {
 	isReplaced: false, wasHeard: true, silentMs: 60_000, lostAfterMs: 5000, isListed: true, hearsOthers: true,
--- a/packages/ledger/src/surplus.ts
+++ b/packages/ledger/src/account/surplus.ts
@@ -1,7 +1,7 @@
+import type {HoldAhead} from '../hold-ahead/hold-ahead.js';
+import type {StoreView} from '../store/store-view.js';
 import type {Account} from './account.js';
 import {available} from './available.js';
-import type {HoldAhead} from './hold-ahead.js';
-import type {StoreView} from './store-view.js';
 
 /** Rights this small are not worth a give-back, in tokens. Chosen without a measurement. */
 const keepTokens = 2000;
--- a/packages/ledger/src/transferred.ts
+++ b/packages/ledger/src/account/transferred.ts
@@ -1,5 +1,5 @@
+import {sumOf} from '../lib/sum-of.js';
 import type {Holdings} from './holdings.js';
-import {sumOf} from './lib/sum-of.js';
 
 /** Tokens received from other holders, less those given to them. */
 export const transferred = ({received, given}: Pick<Holdings, 'received' | 'given'>): number =>
--- a/packages/ledger/src/apply-op.ts
+++ b/packages/ledger/src/claims/apply-op.ts
@@ -1,7 +1,7 @@
 import {assertInvariant} from '@deckwheel/core';
-import {accountOf} from './account-of.js';
-import type {Account} from './account.js';
-import {available} from './available.js';
+import {accountOf} from '../account/account-of.js';
+import type {Account} from '../account/account.js';
+import {available} from '../account/available.js';
 import {claimId} from './claim-id.js';
 import type {Claim} from './claim.js';
 import type {LedgerOp} from './ledger-op.js';
--- a/packages/ledger/src/decide.ts
+++ b/packages/ledger/src/claims/decide.ts
@@ -1,11 +1,11 @@
-import {claimId} from './claim-id.js';
-import type {Decision} from './decision.js';
+import {decideClaim} from '../lib/decide-claim.js';
+import {decideExpire} from '../lib/decide-expire.js';
+import {decideGiveBack} from '../lib/decide-give-back.js';
+import {decideSettle} from '../lib/decide-settle.js';
+import {decideWant} from '../lib/decide-want.js';
 import type {Ledger} from './ledger.js';
-import {decideClaim} from './lib/decide-claim.js';
-import {decideExpire} from './lib/decide-expire.js';
-import {decideGiveBack} from './lib/decide-give-back.js';
-import {decideSettle} from './lib/decide-settle.js';
-import {decideWant} from './lib/decide-want.js';
+import type {Decision} from './decision.js';
+import {claimId} from './claim-id.js';
 import type {SlotRequest} from './slot-request.js';
 
 /**
--- a/packages/ledger/src/ledger.ts
+++ b/packages/ledger/src/claims/ledger.ts
@@ -1,5 +1,5 @@
 import type {Map as ImmutableMap} from 'immutable';
-import type {Account} from './account.js';
+import type {Account} from '../account/account.js';
 import type {Claim} from './claim.js';
 
 /** Everything that one holder knows: its rights by budget, and its claims. */
--- a/packages/ledger/src/plain-ledger.ts
+++ b/packages/ledger/src/claims/plain-ledger.ts
@@ -1,4 +1,4 @@
-import type {Account} from './account.js';
+import type {Account} from '../account/account.js';
 import type {Claim} from './claim.js';
 
 /** A ledger as plain data, for the wire. */
--- a/packages/ledger/src/slot-reply.ts
+++ b/packages/ledger/src/claims/slot-reply.ts
@@ -1,7 +1,7 @@
 import type {Refusal} from '@deckwheel/core';
+import type {Pair} from '../replica/pair.js';
 import type {Answer} from './answer.js';
 import type {Claim} from './claim.js';
-import type {Pair} from './pair.js';
 import type {Run} from './run.js';
 
 /** What a slot's primary answers. */
--- a/packages/ledger/src/lib/decide-claim.ts
+++ b/packages/ledger/src/lib/decide-claim.ts
@@ -1,11 +1,11 @@
-import {accountOf} from '../account-of.js';
-import {available} from '../available.js';
-import {claimId} from '../claim-id.js';
-import type {ClaimRequest} from '../claim-request.js';
-import type {Claim} from '../claim.js';
-import type {Decision} from '../decision.js';
-import type {Ledger} from '../ledger.js';
-import type {Run} from '../run.js';
+import {accountOf} from '../account/account-of.js';
+import {available} from '../account/available.js';
+import {claimId} from '../claims/claim-id.js';
+import type {ClaimRequest} from '../claims/claim-request.js';
+import type {Claim} from '../claims/claim.js';
+import type {Decision} from '../claims/decision.js';
+import type {Ledger} from '../claims/ledger.js';
+import type {Run} from '../claims/run.js';
 import {refuse} from './refuse.js';
 
 const newRun = (request: ClaimRequest, number: number): Run => ({
--- a/packages/ledger/src/lib/decide-expire.ts
+++ b/packages/ledger/src/lib/decide-expire.ts
@@ -1,8 +1,8 @@
-import {claimId} from '../claim-id.js';
-import type {Claim} from '../claim.js';
-import type {Decision} from '../decision.js';
-import type {LedgerOp} from '../ledger-op.js';
-import type {Ledger} from '../ledger.js';
+import {claimId} from '../claims/claim-id.js';
+import type {Claim} from '../claims/claim.js';
+import type {Decision} from '../claims/decision.js';
+import type {LedgerOp} from '../claims/ledger-op.js';
+import type {Ledger} from '../claims/ledger.js';
 
 const strandOpenRuns = (claim: Claim): readonly LedgerOp[] =>
 	claim.runs
--- a/packages/ledger/src/lib/decide-give-back.ts
+++ b/packages/ledger/src/lib/decide-give-back.ts
@@ -1,8 +1,8 @@
-import {accountOf} from '../account-of.js';
-import {available} from '../available.js';
-import type {Decision} from '../decision.js';
-import type {GiveBackRequest} from '../give-back-request.js';
-import type {Ledger} from '../ledger.js';
+import {accountOf} from '../account/account-of.js';
+import {available} from '../account/available.js';
+import type {Decision} from '../claims/decision.js';
+import type {GiveBackRequest} from '../claims/give-back-request.js';
+import type {Ledger} from '../claims/ledger.js';
 
 /** Takes rights out of the accounts, so that the store may offer them elsewhere. Never more than is there. */
 export const decideGiveBack = (ledger: Ledger, request: GiveBackRequest): Decision => {
--- a/packages/ledger/src/lib/decide-settle.ts
+++ b/packages/ledger/src/lib/decide-settle.ts
@@ -1,7 +1,7 @@
-import {claimId} from '../claim-id.js';
-import type {Decision} from '../decision.js';
-import type {Ledger} from '../ledger.js';
-import type {SettleRequest} from '../settle-request.js';
+import {claimId} from '../claims/claim-id.js';
+import type {Decision} from '../claims/decision.js';
+import type {Ledger} from '../claims/ledger.js';
+import type {SettleRequest} from '../claims/settle-request.js';
 
 /** Records how a run ended. Only the first end of a run counts, and only the first bill of a claim. */
 export const decideSettle = (ledger: Ledger, request: SettleRequest): Decision => {
--- a/packages/ledger/src/lib/decide-want.ts
+++ b/packages/ledger/src/lib/decide-want.ts
@@ -1,8 +1,8 @@
-import {accountOf} from '../account-of.js';
-import {available} from '../available.js';
-import type {Decision} from '../decision.js';
-import type {Ledger} from '../ledger.js';
-import type {WantRequest} from '../want-request.js';
+import {accountOf} from '../account/account-of.js';
+import {available} from '../account/available.js';
+import type {Decision} from '../claims/decision.js';
+import type {Ledger} from '../claims/ledger.js';
+import type {WantRequest} from '../claims/want-request.js';
 
 /**
 Gives rights to another holder. They leave here before the reply is sent:
--- a/packages/ledger/src/lib/disown.ts
+++ b/packages/ledger/src/lib/disown.ts
@@ -1,6 +1,6 @@
 import {List} from 'immutable';
-import type {ReplicaStep} from '../replica-step.js';
-import type {Replica} from '../replica.js';
+import type {ReplicaStep} from '../replica/replica-step.js';
+import type {Replica} from '../replica/replica.js';
 
 /** Turns every waiting request away: whether its entry survived is for the new primary to say. */
 export const disown = (replica: Replica): ReplicaStep => ({
--- a/packages/ledger/src/lib/empty-account.ts
+++ b/packages/ledger/src/lib/empty-account.ts
@@ -1,5 +1,5 @@
 import {Map as ImmutableMap} from 'immutable';
-import type {Account} from '../account.js';
+import type {Account} from '../account/account.js';
 
 /** An account with no rights. */
 export const emptyAccount: Account = {
--- a/packages/ledger/src/lib/release-replies.ts
+++ b/packages/ledger/src/lib/release-replies.ts
@@ -1,5 +1,5 @@
-import type {Replica} from '../replica.js';
-import type {ReplicaStep} from '../replica-step.js';
+import type {Replica} from '../replica/replica.js';
+import type {ReplicaStep} from '../replica/replica-step.js';
 
 /** Sends the replies whose entries are now on both hosts. */
 export const releaseReplies = (replica: Replica): ReplicaStep => {
--- a/packages/ledger/src/lib/send-snapshot.ts
+++ b/packages/ledger/src/lib/send-snapshot.ts
@@ -1,6 +1,6 @@
-import type {ReplicaEffect} from '../replica-effect.js';
-import type {Replica} from '../replica.js';
-import {toPlainLedger} from '../to-plain-ledger.js';
+import type {ReplicaEffect} from '../replica/replica-effect.js';
+import type {Replica} from '../replica/replica.js';
+import {toPlainLedger} from '../claims/to-plain-ledger.js';
 
 /** The effects that give the backup the whole ledger; none when there is no backup. */
 export const sendSnapshot = (replica: Replica): readonly ReplicaEffect[] => {
--- a/packages/ledger/src/lib/step-configure.ts
+++ b/packages/ledger/src/lib/step-configure.ts
@@ -1,8 +1,8 @@
-import {emptyLedger} from '../empty-ledger.js';
-import type {ReplicaEvent} from '../replica-event.js';
-import type {ReplicaRole} from '../replica-role.js';
-import type {ReplicaStep} from '../replica-step.js';
-import type {Replica} from '../replica.js';
+import {emptyLedger} from '../claims/empty-ledger.js';
+import type {ReplicaEvent} from '../replica/replica-event.js';
+import type {ReplicaRole} from '../replica/replica-role.js';
+import type {ReplicaStep} from '../replica/replica-step.js';
+import type {Replica} from '../replica/replica.js';
 import {disown} from './disown.js';
 import {releaseReplies} from './release-replies.js';
 import {sendSnapshot} from './send-snapshot.js';
--- a/packages/ledger/src/lib/step-message.ts
+++ b/packages/ledger/src/lib/step-message.ts
@@ -1,10 +1,10 @@
 import {List} from 'immutable';
-import {applyOp} from '../apply-op.js';
-import {fromPlainLedger} from '../from-plain-ledger.js';
-import type {ReplicaEffect} from '../replica-effect.js';
-import type {ReplicaMessage} from '../replica-message.js';
-import type {ReplicaStep} from '../replica-step.js';
-import type {Replica} from '../replica.js';
+import {applyOp} from '../claims/apply-op.js';
+import {fromPlainLedger} from '../claims/from-plain-ledger.js';
+import type {ReplicaEffect} from '../replica/replica-effect.js';
+import type {ReplicaMessage} from '../replica/replica-message.js';
+import type {ReplicaStep} from '../replica/replica-step.js';
+import type {Replica} from '../replica/replica.js';
 import {disown} from './disown.js';
 import {releaseReplies} from './release-replies.js';
 import {sendSnapshot} from './send-snapshot.js';
--- a/packages/ledger/src/lib/step-request.ts
+++ b/packages/ledger/src/lib/step-request.ts
@@ -1,9 +1,9 @@
-import {applyOp} from '../apply-op.js';
-import {decide} from '../decide.js';
-import type {ReplicaEffect} from '../replica-effect.js';
-import type {ReplicaEvent} from '../replica-event.js';
-import type {ReplicaStep} from '../replica-step.js';
-import type {Replica} from '../replica.js';
+import {applyOp} from '../claims/apply-op.js';
+import {decide} from '../claims/decide.js';
+import type {ReplicaEffect} from '../replica/replica-effect.js';
+import type {ReplicaEvent} from '../replica/replica-event.js';
+import type {ReplicaStep} from '../replica/replica-step.js';
+import type {Replica} from '../replica/replica.js';
 import {releaseReplies} from './release-replies.js';
 
 const ledgerAfter = (replica: Replica, ops: ReadonlyArray<Parameters<typeof applyOp>[1]>) => {
--- a/packages/ledger/src/new-replica.ts
+++ b/packages/ledger/src/replica/new-replica.ts
@@ -1,5 +1,5 @@
 import {List} from 'immutable';
-import {emptyLedger} from './empty-ledger.js';
+import {emptyLedger} from '../claims/empty-ledger.js';
 import type {Replica} from './replica.js';
 
 /** A replica before the host has any part in the slot. */
--- a/packages/ledger/src/pending-reply.ts
+++ b/packages/ledger/src/replica/pending-reply.ts
@@ -1,4 +1,4 @@
-import type {SlotReply} from './slot-reply.js';
+import type {SlotReply} from '../claims/slot-reply.js';
 
 /** A reply that is held until the backup holds the entry it depends on. */
 export type PendingReply = {
--- a/packages/ledger/src/replica-effect.ts
+++ b/packages/ledger/src/replica/replica-effect.ts
@@ -1,5 +1,5 @@
+import type {SlotReply} from '../claims/slot-reply.js';
 import type {ReplicaMessage} from './replica-message.js';
-import type {SlotReply} from './slot-reply.js';
 
 /** What a replica wants done. */
 export type ReplicaEffect =
--- a/packages/ledger/src/replica-event.ts
+++ b/packages/ledger/src/replica/replica-event.ts
@@ -1,6 +1,6 @@
+import type {SlotRequest} from '../claims/slot-request.js';
 import type {Pair} from './pair.js';
 import type {ReplicaMessage} from './replica-message.js';
-import type {SlotRequest} from './slot-request.js';
 
 /** What can happen to a replica. */
 export type ReplicaEvent =
--- a/packages/ledger/src/replica-message.ts
+++ b/packages/ledger/src/replica/replica-message.ts
@@ -1,6 +1,6 @@
-import type {LedgerOp} from './ledger-op.js';
+import type {LedgerOp} from '../claims/ledger-op.js';
+import type {PlainLedger} from '../claims/plain-ledger.js';
 import type {Pair} from './pair.js';
-import type {PlainLedger} from './plain-ledger.js';
 
 /** What the two hosts of a pair say to each other. Each message carries the epoch, and stale ones change nothing. */
 export type ReplicaMessage =
--- a/packages/ledger/src/replica.ts
+++ b/packages/ledger/src/replica/replica.ts
@@ -1,5 +1,5 @@
 import type {List} from 'immutable';
-import type {Ledger} from './ledger.js';
+import type {Ledger} from '../claims/ledger.js';
 import type {Pair} from './pair.js';
 import type {PendingReply} from './pending-reply.js';
 import type {ReplicaRole} from './replica-role.js';
--- a/packages/ledger/src/step-replica.ts
+++ b/packages/ledger/src/replica/step-replica.ts
@@ -1,7 +1,7 @@
-import {sendSnapshot} from './lib/send-snapshot.js';
-import {stepConfigure} from './lib/step-configure.js';
-import {stepMessage} from './lib/step-message.js';
-import {stepRequest} from './lib/step-request.js';
+import {sendSnapshot} from '../lib/send-snapshot.js';
+import {stepConfigure} from '../lib/step-configure.js';
+import {stepMessage} from '../lib/step-message.js';
+import {stepRequest} from '../lib/step-request.js';
 import type {ReplicaEvent} from './replica-event.js';
 import type {ReplicaStep} from './replica-step.js';
 import type {Replica} from './replica.js';
--- a/packages/ledger/src/plan-draw.ts
+++ b/packages/ledger/src/store/plan-draw.ts
@@ -1,8 +1,8 @@
+import {coarseRate} from '../lib/coarse-rate.js';
 import type {BudgetRights} from './budget-rights.js';
 import type {DrawPlan} from './draw-plan.js';
 import type {DrawRequest} from './draw-request.js';
 import type {RightsObject} from './rights-object.js';
-import {coarseRate} from './lib/coarse-rate.js';
 import {unallocated} from './unallocated.js';
 import {viewStore} from './view-store.js';
 
--- a/packages/ledger/src/unallocated.ts
+++ b/packages/ledger/src/store/unallocated.ts
@@ -1,6 +1,6 @@
+import {sumOf} from '../lib/sum-of.js';
 import type {BudgetRights} from './budget-rights.js';
 import type {HolderRights} from './holder-rights.js';
-import {sumOf} from './lib/sum-of.js';
 
 // What endpoints served beyond the holder's rights. It is nobody's grant, but it is spent.
 const overrun = ({granted, transferred, settled}: HolderRights): number =>
--- a/packages/ledger/src/view-store.ts
+++ b/packages/ledger/src/store/view-store.ts
@@ -1,6 +1,6 @@
+import {coarseRate} from '../lib/coarse-rate.js';
+import {sumOf} from '../lib/sum-of.js';
 import type {BudgetRights} from './budget-rights.js';
-import {coarseRate} from './lib/coarse-rate.js';
-import {sumOf} from './lib/sum-of.js';
 import type {StoreView} from './store-view.js';
 import {unallocated} from './unallocated.js';
 
--- a/packages/ledger/src/test/decide.test.ts
+++ b/packages/ledger/src/test/decide.test.ts
@@ -1,12 +1,12 @@
 import test from 'ava';
-import {applyOp} from '../apply-op.js';
-import {available} from '../available.js';
-import type {ClaimRequest} from '../claim-request.js';
-import {decide} from '../decide.js';
-import {emptyLedger} from '../empty-ledger.js';
-import type {Ledger} from '../ledger.js';
-import type {SettleRequest} from '../settle-request.js';
-import type {SlotRequest} from '../slot-request.js';
+import {applyOp} from '../claims/apply-op.js';
+import {available} from '../account/available.js';
+import type {ClaimRequest} from '../claims/claim-request.js';
+import {decide} from '../claims/decide.js';
+import {emptyLedger} from '../claims/empty-ledger.js';
+import type {Ledger} from '../claims/ledger.js';
+import type {SettleRequest} from '../claims/settle-request.js';
+import type {SlotRequest} from '../claims/slot-request.js';
 
 const claim = (changes: Partial<ClaimRequest> = {}): ClaimRequest => ({
 	type: 'claim',
--- a/packages/ledger/src/test/hold-ahead-by-rate.test.ts
+++ b/packages/ledger/src/test/hold-ahead-by-rate.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
-import type {DemandView} from '../demand-view.js';
-import {holdAheadByRate} from '../hold-ahead-by-rate.js';
+import type {DemandView} from '../hold-ahead/demand-view.js';
+import {holdAheadByRate} from '../hold-ahead/hold-ahead-by-rate.js';
 
 const holdAhead = holdAheadByRate({shareOfRest: 0.35, horizonSeconds: 8, idleShare: 0.3});
 const view: DemandView = {
--- a/packages/ledger/src/test/plan-draw.test.ts
+++ b/packages/ledger/src/test/plan-draw.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
-import type {DrawRequest} from '../draw-request.js';
-import {planDraw} from '../plan-draw.js';
-import type {RightsObject} from '../rights-object.js';
-import {topUp} from '../top-up.js';
-import {unallocated} from '../unallocated.js';
+import type {DrawRequest} from '../store/draw-request.js';
+import {planDraw} from '../store/plan-draw.js';
+import type {RightsObject} from '../store/rights-object.js';
+import {topUp} from '../store/top-up.js';
+import {unallocated} from '../store/unallocated.js';
 
 const rights = (holders: RightsObject['budgets'][string]['holders'] = {}): RightsObject => ({
 	budgets: {
--- a/packages/ledger/src/test/plan-pair.test.ts
+++ b/packages/ledger/src/test/plan-pair.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
-import type {PairView} from '../pair-view.js';
-import {planPair} from '../plan-pair.js';
+import type {PairView} from '../replica/pair-view.js';
+import {planPair} from '../replica/plan-pair.js';
 
 const pair = {
 	epoch: 3, generation: 1, primary: 'a~1', backup: 'b~1',
--- a/packages/ledger/src/test/replay.test.ts
+++ b/packages/ledger/src/test/replay.test.ts
@@ -1,12 +1,12 @@
 import {readdirSync, readFileSync} from 'node:fs';
 import test from 'ava';
-import {applyOp} from '../apply-op.js';
-import {accountOf} from '../account-of.js';
-import {available} from '../available.js';
-import {decide} from '../decide.js';
-import {emptyLedger} from '../empty-ledger.js';
-import type {SlotReply} from '../slot-reply.js';
-import type {SlotRequest} from '../slot-request.js';
+import {applyOp} from '../claims/apply-op.js';
+import {accountOf} from '../account/account-of.js';
+import {available} from '../account/available.js';
+import {decide} from '../claims/decide.js';
+import {emptyLedger} from '../claims/empty-ledger.js';
+import type {SlotReply} from '../claims/slot-reply.js';
+import type {SlotRequest} from '../claims/slot-request.js';
 
 /** One line of a trace: what came in, and what must come out. */
 type Line = {
--- a/packages/ledger/src/test/step-replica.test.ts
+++ b/packages/ledger/src/test/step-replica.test.ts
@@ -1,8 +1,8 @@
 import process from 'node:process';
 import test from 'ava';
 import fc from 'fast-check';
-import {newReplica} from '../new-replica.js';
-import {stepReplica} from '../step-replica.js';
+import {newReplica} from '../replica/new-replica.js';
+import {stepReplica} from '../replica/step-replica.js';
 import {createWorld} from './lib/create-world.js';
 import type {StepName} from './lib/step-name.js';
 
--- a/packages/routing/src/choose-endpoint.ts
+++ b/packages/routing/src/endpoints/choose-endpoint.ts
@@ -1,7 +1,7 @@
+import type {RateEndpoint} from '../ratings/rate-endpoint.js';
+import type {RatedEndpoint} from '../ratings/rated-endpoint.js';
 import type {EndpointState} from './endpoint-state.js';
 import type {EndpointTable} from './endpoint-table.js';
-import type {RateEndpoint} from './rate-endpoint.js';
-import type {RatedEndpoint} from './rated-endpoint.js';
 import type {EndpointChoice} from './endpoint-choice.js';
 import type {EndpointRequest} from './endpoint-request.js';
 
--- a/packages/routing/src/step-endpoints.ts
+++ b/packages/routing/src/endpoints/step-endpoints.ts
@@ -1,8 +1,8 @@
+import {smooth} from '../lib/smooth.js';
 import type {EndpointEvent} from './endpoint-event.js';
 import type {EndpointInfo} from './endpoint-info.js';
 import type {EndpointState} from './endpoint-state.js';
 import type {EndpointTable} from './endpoint-table.js';
-import {smooth} from './lib/smooth.js';
 
 /** Failures in a row after which an endpoint is left alone for a while. Fewer would eject on chance, more cost requests. Chosen without a measurement. */
 const failuresBeforeEjection = 3;
--- a/packages/routing/src/lib/estimate-load.ts
+++ b/packages/routing/src/lib/estimate-load.ts
@@ -1,4 +1,4 @@
-import type {EndpointState} from '../endpoint-state.js';
+import type {EndpointState} from '../endpoints/endpoint-state.js';
 
 /** A report older than this says nothing any more, in ms. */
 const staleAfterMs = 10_000;
--- a/packages/routing/src/lib/expected-start.ts
+++ b/packages/routing/src/lib/expected-start.ts
@@ -1,5 +1,5 @@
-import type {WaitingRequest} from '../waiting-request.js';
-import type {WaitingRoom} from '../waiting-room.js';
+import type {WaitingRequest} from '../waiting-room/waiting-request.js';
+import type {WaitingRoom} from '../waiting-room/waiting-room.js';
 
 const order = {quick: 0, normal: 1, slow: 2} as const;
 
--- a/packages/routing/src/affinity-request.ts
+++ b/packages/routing/src/ratings/affinity-request.ts
@@ -1,4 +1,4 @@
-import type {EndpointRequest} from './endpoint-request.js';
+import type {EndpointRequest} from '../endpoints/endpoint-request.js';
 
 /** What `rateByAffinity` weighs. */
 export type AffinityRequest = EndpointRequest & {
--- a/packages/routing/src/cost-request.ts
+++ b/packages/routing/src/ratings/cost-request.ts
@@ -1,5 +1,5 @@
-import type {EndpointRequest} from './endpoint-request.js';
-import type {Priority} from './priority.js';
+import type {EndpointRequest} from '../endpoints/endpoint-request.js';
+import type {Priority} from '../waiting-room/priority.js';
 
 /** What `rateByCost` weighs. */
 export type CostRequest = EndpointRequest & {
--- a/packages/routing/src/rate-by-affinity.ts
+++ b/packages/routing/src/ratings/rate-by-affinity.ts
@@ -1,4 +1,4 @@
-import {estimateLoad} from './lib/estimate-load.js';
+import {estimateLoad} from '../lib/estimate-load.js';
 import type {RateEndpoint} from './rate-endpoint.js';
 import type {AffinityRequest} from './affinity-request.js';
 
--- a/packages/routing/src/rate-by-in-flight.ts
+++ b/packages/routing/src/ratings/rate-by-in-flight.ts
@@ -1,4 +1,4 @@
-import type {EndpointRequest} from './endpoint-request.js';
+import type {EndpointRequest} from '../endpoints/endpoint-request.js';
 import type {RateEndpoint} from './rate-endpoint.js';
 
 /** Least in flight: whoever has the fewest open requests of this host. A baseline; it lets endpoints queue without bound. */
--- a/packages/routing/src/rate-by-turn.ts
+++ b/packages/routing/src/ratings/rate-by-turn.ts
@@ -1,4 +1,4 @@
-import type {EndpointRequest} from './endpoint-request.js';
+import type {EndpointRequest} from '../endpoints/endpoint-request.js';
 import type {RateEndpoint} from './rate-endpoint.js';
 
 /** Round robin: whoever had the fewest requests is next. A baseline; it lets endpoints queue without bound. */
--- a/packages/routing/src/rate-endpoint.ts
+++ b/packages/routing/src/ratings/rate-endpoint.ts
@@ -1,5 +1,5 @@
-import type {EndpointRequest} from './endpoint-request.js';
-import type {EndpointState} from './endpoint-state.js';
+import type {EndpointRequest} from '../endpoints/endpoint-request.js';
+import type {EndpointState} from '../endpoints/endpoint-state.js';
 import type {RatedEndpoint} from './rated-endpoint.js';
 
 /** A policy of routing: rates one endpoint for one request. `now` is monotonic ms. */
--- a/packages/routing/src/test/step-endpoints.test.ts
+++ b/packages/routing/src/test/step-endpoints.test.ts
@@ -1,10 +1,10 @@
 import test from 'ava';
-import {chooseEndpoint} from '../choose-endpoint.js';
-import type {EndpointEvent} from '../endpoint-event.js';
-import type {EndpointTable} from '../endpoint-table.js';
-import type {CostRequest} from '../cost-request.js';
-import {rateByCost} from '../rate-by-cost.js';
-import {stepEndpoints} from '../step-endpoints.js';
+import {chooseEndpoint} from '../endpoints/choose-endpoint.js';
+import type {EndpointEvent} from '../endpoints/endpoint-event.js';
+import type {EndpointTable} from '../endpoints/endpoint-table.js';
+import type {CostRequest} from '../ratings/cost-request.js';
+import {rateByCost} from '../ratings/rate-by-cost.js';
+import {stepEndpoints} from '../endpoints/step-endpoints.js';
 
 const info = (id: string, changes = {}) => ({
 	id, hall: 'hall-a', serves: ['m'], slots: 2, isLeaving: false, ...changes,
--- a/packages/routing/src/test/step-retry-window.test.ts
+++ b/packages/routing/src/test/step-retry-window.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
-import type {RetryWindow} from '../retry-window.js';
-import {stepRetryWindow} from '../step-retry-window.js';
+import type {RetryWindow} from '../retries/retry-window.js';
+import {stepRetryWindow} from '../retries/step-retry-window.js';
 
 const bounds = {retryRatio: 0.2, retryWindowMs: 10_000};
 
--- a/packages/routing/src/test/waiting-room.test.ts
+++ b/packages/routing/src/test/waiting-room.test.ts
@@ -1,10 +1,10 @@
 import test from 'ava';
-import {emptyWaitingRoom} from '../empty-waiting-room.js';
-import {enterWaitingRoom} from '../enter-waiting-room.js';
-import {expireWaitingRoom} from '../expire-waiting-room.js';
-import {leaveWaitingRoom} from '../leave-waiting-room.js';
-import type {WaitingRequest} from '../waiting-request.js';
-import type {WaitingRoom} from '../waiting-room.js';
+import {emptyWaitingRoom} from '../waiting-room/empty-waiting-room.js';
+import {enterWaitingRoom} from '../waiting-room/enter-waiting-room.js';
+import {expireWaitingRoom} from '../waiting-room/expire-waiting-room.js';
+import {leaveWaitingRoom} from '../waiting-room/leave-waiting-room.js';
+import type {WaitingRequest} from '../waiting-room/waiting-request.js';
+import type {WaitingRoom} from '../waiting-room/waiting-room.js';
 
 const waiting = (id: number, changes: Partial<WaitingRequest> = {}): WaitingRequest => ({
 	id, target: 'm', organisation: 'o', weight: 1, priority: 'normal', startBy: 10_000, ...changes,
--- a/packages/routing/src/enter-waiting-room.ts
+++ b/packages/routing/src/waiting-room/enter-waiting-room.ts
@@ -1,4 +1,4 @@
-import {expectedStart} from './lib/expected-start.js';
+import {expectedStart} from '../lib/expected-start.js';
 import type {Priority} from './priority.js';
 import type {WaitingRequest} from './waiting-request.js';
 import type {WaitingRoom} from './waiting-room.js';
--- a/packages/routing/src/leave-waiting-room.ts
+++ b/packages/routing/src/waiting-room/leave-waiting-room.ts
@@ -1,4 +1,4 @@
-import {smooth} from './lib/smooth.js';
+import {smooth} from '../lib/smooth.js';
 import type {Priority} from './priority.js';
 import type {WaitingRequest} from './waiting-request.js';
 import type {WaitingRoom} from './waiting-room.js';
