--- a/packages/cli/src/commands/api-key-new.ts
+++ b/packages/cli/src/commands/api-key-new.ts
@@ -2,6 +2,7 @@
 import {hashApiKey} from '@deckwheel/bundle';
 import {defineCommand} from '../lib/define-command.js';
 
+/** Random bytes of an API key. */
 const keyBytes = 24;
 
 /** `deckwheel api-key new` */
--- a/packages/cli/src/commands/key-new.ts
+++ b/packages/cli/src/commands/key-new.ts
@@ -3,6 +3,7 @@
 import {Args, Flags} from '@oclif/core';
 import {defineCommand} from '../lib/define-command.js';
 
+/** The mode of a private key file: only its owner may read or write it. */
 const ownerOnly = 0o600;
 
 /** `deckwheel key new FILE` */
--- a/packages/cli/src/lib/define-command.ts
+++ b/packages/cli/src/lib/define-command.ts
@@ -23,7 +23,11 @@
 };
 
 const offlineConfig = succeed<ToolConfig>({platform: 'http://127.0.0.1', hosts: [], slots: 1});
+
+/** Exit code: refused or failed. */
 const exitFailed = 1;
+
+/** Exit code: wrong arguments or configuration. */
 const exitFaulty = 2;
 
 /**
--- a/packages/daemon/src/lib/draws/start-draw-task.ts
+++ b/packages/daemon/src/lib/draws/start-draw-task.ts
@@ -17,6 +17,7 @@
 /** Before a waiting request is told that a budget is used up, the store is read at least this lately, in ms. */
 const freshMs = 250;
 
+/** Seconds over which demand is averaged where the bundle says nothing: 30 s split rights wrongly, 1200 s lagged (docs/design/hold-ahead.md). */
 const defaultMemorySeconds = 300;
 
 type Options = {
--- a/packages/daemon/src/lib/gateway/read-request-options.ts
+++ b/packages/daemon/src/lib/gateway/read-request-options.ts
@@ -10,6 +10,8 @@
 import type {RequestOptions} from './request-options.js';
 
 const keyPattern = /^[\w.:~+/=-]{1,200}$/;
+
+/** The longest deadline that a caller may ask for, in ms: a day. */
 const longestDeadlineMs = 86_400_000;
 const order: readonly Priority[] = ['quick', 'normal', 'slow'];
 
--- a/packages/daemon/src/lib/membership/new-incarnation.ts
+++ b/packages/daemon/src/lib/membership/new-incarnation.ts
@@ -1,5 +1,6 @@
 import {randomBytes} from 'node:crypto';
 
+/** Digits of the start time in base 36: enough until the year 5188, so that names sort by time. */
 const timeDigits = 9;
 
 /** A new incarnation of a host: its name, the time of its start, and chance. Later ones sort after earlier ones. */
--- a/packages/daemon/src/lib/membership/start-membership.ts
+++ b/packages/daemon/src/lib/membership/start-membership.ts
@@ -13,7 +13,11 @@
 
 /** Heartbeats missed before a host counts as gone. */
 const missedBeforeGone = 5;
+
+/** Heartbeats that a host may miss before another one is asked of it. Chosen without a measurement. */
 const missedBeforeDoubt = 2.5;
+
+/** A host is not taken for gone before this silence, in ms, however fast heartbeats are. Chosen without a measurement. */
 const leastSilenceMs = 1500;
 
 /** Hosts of the hall that get a heartbeat each time, in turn, besides the partners in pairs: so the cost does not grow with the hall. */
@@ -21,13 +25,23 @@
 
 /** A host that was heard of, and now is silent for this long, is believed to have lost its memory. */
 const leastLostMs = 5000;
+
+/** Heartbeats that a host may miss before it is taken for lost for good. Chosen without a measurement. */
 const missedBeforeLost = 8;
+
+/** How often the list of hosts is read, in ms, by the readers of the turn. Chosen without a measurement. */
 const listEveryMs = 3000;
 
 /** Hosts of a hall that read the list in each such time, between them. The others learn of hosts from their peers. */
 const readersPerTurn = 2;
+
+/** How often a host that knows no peer reads it, in ms. Chosen without a measurement. */
 const lonelyListMs = 1000;
+
+/** How long a peer may take to answer a heartbeat, in ms. Chosen without a measurement. */
 const heartbeatTimeoutMs = 1000;
+
+/** Hosts of each other hall that are known at a time: enough for one that answers. Chosen without a measurement. */
 const maxRemoteHosts = 3;
 
 const heartbeatReplySchema = z.object({
--- a/packages/daemon/src/lib/operating/start-operators.ts
+++ b/packages/daemon/src/lib/operating/start-operators.ts
@@ -15,6 +15,7 @@
 import type {SlotsTask} from '../slots/slots-task.js';
 import type {BundleTask} from './bundle-task.js';
 
+/** How long another host may take to answer for an operator, in ms. Chosen without a measurement. */
 const askMs = 3000;
 
 type Options = {
--- a/packages/daemon/src/lib/peers/create-peer-handlers.ts
+++ b/packages/daemon/src/lib/peers/create-peer-handlers.ts
@@ -11,7 +11,10 @@
 import type {PeerRequest} from './peer-request.js';
 import type {PeerSlotRequest} from './peer-slot-request.js';
 
+/** Hosts that a request to a slot may pass through: the one asked, and the primary that it knows of. */
 const maxHops = 2;
+
+/** How long the next of them may take, in ms: below what the asker waits (`tryTimeoutMs` of createAskSlot). */
 const forwardTimeoutMs = 2500;
 
 /** Hosts that an answer to a heartbeat tells of. Each answer tells of others, so that all get around. */
--- a/packages/daemon/src/lib/placing/start-router.ts
+++ b/packages/daemon/src/lib/placing/start-router.ts
@@ -17,18 +17,29 @@
 import type {Place} from './place.js';
 import type {RouterTask} from './router-task.js';
 
+/** How often the queue is looked at while somebody waits, in ms. Chosen without a measurement. */
 const pumpEveryMs = 20;
+
+/** How often it is looked at while nobody does, in ms. Chosen without a measurement. */
 const idlePumpMs = 500;
+
+/** The least time between two polls of an endpoint's load, in ms: it was 100, and 250 brought an idle host's cost down (docs/design/routing.md). */
 const leastPollMs = 250;
 
 /** Cache events are read once in so many polls of the load. */
 const pollsPerCacheRead = 8;
 /** Each host in the hall slows the polls of load reports by this much, so that an endpoint's load from them stays bounded. */
 const pollMsPerHost = 25;
+
+/** How long an endpoint may take to report, in ms. Chosen without a measurement. */
 const pollTimeoutMs = 1000;
 /** How much endpoint time the share of quick work is judged by, in ms. */
 const shareMemoryMs = 20_000;
+
+/** Sessions whose endpoint is remembered: a bound on memory. Chosen without a measurement. */
 const maxSessions = 10_000;
+
+/** When a caller should come back where no endpoint can be reached, in seconds. Chosen without a measurement. */
 const noEndpointRetrySeconds = 2;
 
 const loadSchema = z.object({running: z.number(), queued: z.number(), isLeaving: z.boolean().optional()});
--- a/packages/daemon/src/lib/running/create-run-job.ts
+++ b/packages/daemon/src/lib/running/create-run-job.ts
@@ -9,6 +9,11 @@
 import type {Context} from '../process/context.js';
 import type {Place} from '../placing/place.js';
 import type {RouterTask} from '../placing/router-task.js';
+import {mayRetryRun} from './may-retry-run.js';
+import {ranAfter} from './ran-after.js';
+import {refusalAfterRun} from './refusal-after-run.js';
+import {runRefusals} from './run-refusals.js';
+import {withEarlierRuns} from './with-earlier-runs.js';
 import type {Job} from './job.js';
 import type {RunEnd} from './run-end.js';
 import type {RunJob} from './run-job.js';
@@ -16,10 +21,12 @@
 
 /** How long a runner may take from its claim to sending. */
 const sendWithinMs = 3000;
+
+/** How long the slot of a key may take to answer, in ms. Chosen without a measurement. */
 const claimTimeoutMs = 4000;
-const followPauseMs = 60;
-const comeBackSeconds = 2;
 
+/** Before a run of another host is looked for again, in ms. Chosen without a measurement. */
+const followPauseMs = 60;
 type Options = {
 	readonly askSlot: AskSlot;
 	readonly router: RouterTask;
@@ -27,22 +34,6 @@
 	readonly keepMs: () => number;
 };
 
-const deadlineExceeded = (ran: Refusal['ran']): Refusal => ({code: 'deadline_exceeded', message: 'The deadline passed before the answer was there.', ran});
-
-const endpointFailed = (ran: Refusal['ran']): Refusal => ({
-	code: 'endpoint_failed', message: 'The endpoint broke off. Retry with the same key.', ran, retryAfterSeconds: comeBackSeconds,
-});
-
-const outcomeUnknown: Refusal = {code: 'outcome_unknown', message: 'Contact with the endpoint was lost. Whether the request ran is unknown; it will not be run again.', ran: 'unknown'};
-
-// A key that the caller presented may have run before, in a hall that cannot be asked now.
-const claimUnavailable = (job: Job): Refusal => ({
-	code: 'claim_unavailable',
-	message: 'The hall that keeps the record of this key cannot be reached now. Retry with the same key.',
-	ran: job.isKeyPresented ? 'unknown' : 'not_run',
-	retryAfterSeconds: comeBackSeconds,
-});
-
 /** A claim is to be made. `ran` tells whether the request ran so far. */
 type ToClaim = {readonly type: 'claim'; readonly ran: RunState};
 
@@ -52,18 +43,6 @@
 const done = (refusal?: Refusal): Next => ({type: 'done', refusal});
 const again = (ran: RunState): Next => ({type: 'again', ran});
 
-const ranAfter = ({outcome}: RunEnd): RunState => {
-	if (outcome === 'not_run') {
-		return 'not_run';
-	}
-
-	return outcome === 'lost' ? 'unknown' : 'ran';
-};
-
-// A refusal of the last try must not deny that an earlier one ran.
-const withEarlierRuns = (refusal: Refusal | undefined, ran: RunState): Refusal | undefined =>
-	refusal?.ran === 'not_run' && ran !== 'not_run' ? {...refusal, ran} : refusal;
-
 /**
 Creates the function that takes a job from its claim to its answer.
 
@@ -113,32 +92,18 @@
 			answer: end.answer,
 		});
 
-	const refusalAfter = (job: Job, end: RunEnd): Refusal => {
-		switch (end.outcome) {
-			case 'not_run': {
-				return endpointFailed('not_run');
-			}
-
-			case 'lost': {
-				return job.isRepeatable ? endpointFailed('unknown') : outcomeUnknown;
-			}
-
-			default: {
-				return endpointFailed('ran');
-			}
-		}
-	};
-
 	const afterRun = async (job: Job, run: Run, end: RunEnd): Promise<Next> => {
 		if (end.outcome === 'finished') {
 			await settle(job, run, end, true);
 			return done();
 		}
 
-		const mayRunAgain = end.outcome === 'not_run' || job.isRepeatable;
-		const isRetried = mayRunAgain && !job.hasOutput() && clock.monotonic() < job.monotonicDeadline && router.mayRetry();
+		const mayRetry = mayRetryRun({
+			outcome: end.outcome, isRepeatable: job.isRepeatable, hasOutput: job.hasOutput(), deadline: job.monotonicDeadline, now: clock.monotonic(),
+		});
+		const isRetried = mayRetry && router.mayRetry();
 		await settle(job, run, end, !isRetried);
-		return isRetried ? again(ranAfter(end)) : done(refusalAfter(job, end));
+		return isRetried ? again(ranAfter(end)) : done(refusalAfterRun(end, job.isRepeatable));
 	};
 
 	const send = async (job: Job, run: Run, place: Place, claimedAt: number): Promise<RunEnd> =>
@@ -179,7 +144,7 @@
 		}
 
 		if (job.hasOutput()) {
-			return done(endpointFailed('ran'));
+			return done(runRefusals.endpointFailed('ran'));
 		}
 
 		// The first runner may still be about to send.
@@ -210,7 +175,7 @@
 			}
 
 			default: {
-				return done(claimUnavailable(job));
+				return done(runRefusals.claimUnavailable(job.isKeyPresented));
 			}
 		}
 	};
@@ -241,7 +206,7 @@
 
 		place.abandoned();
 		disclaim(job, request.attempt);
-		return done(claimUnavailable(job));
+		return done(runRefusals.claimUnavailable(job.isKeyPresented));
 	};
 
 	const openRunOf = (claim: Claim): Run | undefined => claim.runs.find(({state}) => state === 'running');
@@ -250,7 +215,7 @@
 	const recall = async (job: Job): Promise<Next | ToClaim> => {
 		const reply = await ask(job, {type: 'lookup', budget: job.budget, key: job.key.text});
 		if (!reply.ok || reply.value.type !== 'found') {
-			return done(claimUnavailable(job));
+			return done(runRefusals.claimUnavailable(job.isKeyPresented));
 		}
 
 		const {claim} = reply.value;
@@ -259,7 +224,7 @@
 		}
 
 		if (claim.fingerprint !== job.fingerprint) {
-			return done({code: 'key_conflict', message: 'This key was used for a request with other content. Use a new key.', ran: 'not_run'});
+			return done(runRefusals.keyConflict);
 		}
 
 		if (claim.answer) {
@@ -287,6 +252,6 @@
 			mustRecall = true;
 		}
 
-		return deadlineExceeded(job.isKeyPresented && ran === 'not_run' ? 'unknown' : ran);
+		return runRefusals.deadlineExceeded(job.isKeyPresented && ran === 'not_run' ? 'unknown' : ran);
 	};
 };
--- a/packages/daemon/src/lib/running/read-engine-stream.ts
+++ b/packages/daemon/src/lib/running/read-engine-stream.ts
@@ -7,6 +7,8 @@
 
 /** An engine that sends nothing for this long counts as lost, in ms. */
 const silenceMs = 30_000;
+
+/** An engine that takes longer to accept a connection did not get the request, in ms. Chosen without a measurement. */
 const connectMs = 1000;
 
 const usageSchema = z.object({
--- a/packages/daemon/src/lib/running/start-recovery.ts
+++ b/packages/daemon/src/lib/running/start-recovery.ts
@@ -9,7 +9,10 @@
 import {readEngineStream} from './read-engine-stream.js';
 import {streamId} from './stream-id.js';
 
+/** How often runs without a runner are looked for, in ms. Chosen without a measurement. */
 const everyMs = 1000;
+
+/** Runs that are recovered side by side. Chosen without a measurement. */
 const maxAtOnce = 8;
 
 type Options = {
--- a/packages/daemon/src/lib/slots/start-slots.ts
+++ b/packages/daemon/src/lib/slots/start-slots.ts
@@ -9,6 +9,7 @@
 import {pairMapSchema} from './pair-map-schema.js';
 import type {SlotsTask} from './slots-task.js';
 
+/** How often pairs are planned, in ms. Chosen without a measurement. */
 const planEveryMs = 200;
 
 /** A primary whose backup acknowledged nothing for this long sends everything again. */
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,4 +1,8 @@
 #!/usr/bin/env node
+/**
+`deckwheeld`: reads the settings, starts the daemon, and stops it as planned on a signal. Owns the process; everything else is
+`startDaemon`.
+*/
 import process from 'node:process';
 import {parseArgs} from 'node:util';
 import {loadDaemonSettings} from './load-daemon-settings.js';
@@ -15,6 +19,7 @@
 Exit codes: 0 stopped as planned, 1 broken invariant, 2 faulty settings or arguments.
 `;
 
+/** Exit code: faulty settings or arguments. */
 const exitFaulty = 2;
 
 const readArguments = () => {
--- a/packages/entry/src/lib/admission/read-prompt.ts
+++ b/packages/entry/src/lib/admission/read-prompt.ts
@@ -1,6 +1,7 @@
 import type {Prompt} from './prompt.js';
 import type {PromptPart} from './prompt-part.js';
 
+// A part without a size counts as none: parts only guide the choice of an endpoint, and never what is charged.
 const readParts = (text: string | undefined): readonly PromptPart[] =>
 	(text ?? '').split(',').filter(Boolean).map(part => {
 		const [id, tokens] = part.split(':');
--- a/packages/lab/src/idle.ts
+++ b/packages/lab/src/idle.ts
@@ -1,3 +1,4 @@
+/** Measures what idle daemons cost, by the number of hosts in their hall: processor time, memory, calls to the platform. */
 import {readFile} from 'node:fs/promises';
 import process from 'node:process';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -10,7 +11,11 @@
 
 /** Linux counts processor time in these, in seconds. */
 const tickSeconds = 0.01;
+
+/** Linux counts memory in pages of this size. */
 const bytesPerPage = 4096;
+
+/** For the output. */
 const bytesPerMegabyte = 1e6;
 
 type Usage = {readonly cpuSeconds: number; readonly memory: number};
--- a/packages/lab/src/lib/eventually.ts
+++ b/packages/lab/src/lib/eventually.ts
@@ -1,5 +1,6 @@
 import {setTimeout as delay} from 'node:timers/promises';
 
+/** How often the condition is looked at, in ms. */
 const pollMs = 40;
 
 /** Waits until a check gives something, and returns it. The test runner's own limit ends a wait in vain. */
--- a/packages/lab/src/lib/start-fleet.ts
+++ b/packages/lab/src/lib/start-fleet.ts
@@ -18,12 +18,15 @@
 import {spawnEntry} from './spawn-entry.js';
 import {testKeys} from './test-keys.js';
 
+/** Slots of the small fleets here. */
 const slots = 4;
 const apiKey = 'key-of-the-title-company';
 const otherApiKey = 'key-of-the-surveyors';
 const operatorToken = 'token-of-the-operator';
 const budget = 'title-company.main';
 const otherBudget = 'surveyors.main';
+
+/** How often a start is looked at, in ms. */
 const pollMs = 50;
 const listen = {ip: '127.0.0.1', port: 0};
 
--- a/packages/lab/src/load.ts
+++ b/packages/lab/src/load.ts
@@ -1,3 +1,4 @@
+/** Loads `deckwheeld`: what an entry host adds to a request, its throughput, and its routing policies at several loads. */
 import {writeFile} from 'node:fs/promises';
 import process from 'node:process';
 import {parseArgs} from 'node:util';
--- a/packages/lab/src/load/offer-load.ts
+++ b/packages/lab/src/load/offer-load.ts
@@ -5,6 +5,7 @@
 import type {Sample} from './sample.js';
 import {sendTimed} from './send-timed.js';
 
+/** Steps of a random number between 0 and 1. */
 const precision = 1_000_000;
 
 type Load = {
--- a/packages/lab/src/load/percentiles.ts
+++ b/packages/lab/src/load/percentiles.ts
@@ -1,5 +1,6 @@
 import {build} from 'hdr-histogram-js';
 
+/** Histograms take whole numbers. */
 const microsecondsPerMs = 1000;
 
 /** The 50th, 95th and 99th percentile of some times in ms. */
--- a/packages/lab/src/slopes.ts
+++ b/packages/lab/src/slopes.ts
@@ -1,3 +1,4 @@
+/** Measures what one decision or message costs, for docs/CAPACITY.md. */
 import process from 'node:process';
 import {Packr} from 'msgpackr';
 import {adoptBundle, signText} from '@deckwheel/bundle';
@@ -10,7 +11,11 @@
 import {testKeys} from './lib/test-keys.js';
 
 const packr = new Packr({useRecords: false});
+
+/** Rounds of each measurement; the median is told. */
 const rounds = 5;
+
+/** Characters of a kept answer: some 450 tokens. */
 const answerChars = 1800;
 
 const show = (slope: string, values: Readonly<Record<string, number>>): void => {
--- a/packages/lab/src/try.ts
+++ b/packages/lab/src/try.ts
@@ -1,3 +1,4 @@
+/** The try-out: starts a small fleet of `deckwheeld` beside stand-ins, sends one request and its retry, and shows both answers. */
 import process from 'node:process';
 import got from 'got';
 import {sendChat} from './lib/send-chat.js';
--- a/packages/stand-ins/src/main.ts
+++ b/packages/stand-ins/src/main.ts
@@ -1,3 +1,4 @@
+/** Starts the stand-ins by hand: platform, engine and service, for trying out `deckwheeld` on loopback. */
 import process from 'node:process';
 import {parseArgs} from 'node:util';
 import {startEngine} from './start-engine.js';
--- a/packages/stand-ins/src/start-engine.ts
+++ b/packages/stand-ins/src/start-engine.ts
@@ -13,8 +13,14 @@
 
 /** Ended streams are kept this long, so that they can be resumed. */
 const keepEndedMs = 60_000;
+
+/** Blocks of the prefix cache. */
 const cachedBlocks = 4096;
+
+/** Characters that count as a token. */
 const charsPerToken = 4;
+
+/** Every so many-th cache event is left out, as engines lose some. */
 const cacheEventGap = 7;
 
 /**
--- a/packages/stand-ins/src/start-store.ts
+++ b/packages/stand-ins/src/start-store.ts
@@ -8,7 +8,10 @@
 import type {StoreFaults} from './lib/store-faults.js';
 import type {RunningStandIn} from './running-stand-in.js';
 
+/** The longest that a watch is held, in ms. */
 const watchTimeoutMs = 30_000;
+
+/** The largest value that the platform takes, in bytes. */
 const maxValueBytes = 1_048_576;
 
 type Item = {readonly key: string; readonly version: number; readonly value: unknown};
