--- a/packages/daemon/src/lib/running/create-settler.ts
+++ b/packages/daemon/src/lib/running/create-settler.ts
@@ -7,7 +7,7 @@
 /** How long one try to tell the end of a run may take, in ms. Chosen without a measurement. */
 const tryMs = 5000;
 /** The caller's answer does not wait longer than this for the ledger. */
-const patienceMs = 1000;
+const answerWaitMs = 1000;
 
 /** A settlement is given up after this time; the primary then asks the endpoint itself, or charges the worst case. */
 const giveUpMs = 600_000;
@@ -43,7 +43,7 @@
 	return {
 		async settle(home, request) {
 			const attempt = track(keepTrying(home, request));
-			await Promise.race([attempt, delay(patienceMs, undefined, {ref: false})]);
+			await Promise.race([attempt, delay(answerWaitMs, undefined, {ref: false})]);
 		},
 		open: () => open.size,
 		async drain(deadline) {
--- a/packages/entry/src/lib/admission/admit-request.ts
+++ b/packages/entry/src/lib/admission/admit-request.ts
@@ -30,7 +30,7 @@
 	return known ?? (route.isPublic ? undefined : 'unknown');
 };
 
-// A caller that says nothing of its patience, or no number, waits as long as the route allows.
+// A caller that does not say how long it waits, or says no number, waits as long as the route allows.
 const findDeadline = (route: Route, waitMs: string | undefined, receivedAt: number): number => {
 	const callerMs = Number(waitMs ?? route.timeoutMs);
 	return receivedAt + Math.min(route.timeoutMs, Number.isFinite(callerMs) ? callerMs : route.timeoutMs);
--- a/packages/entry/src/lib/host/start-sharing.ts
+++ b/packages/entry/src/lib/host/start-peer-tasks.ts
@@ -26,14 +26,14 @@
 };
 
 /** What a host shares with its peers: rights on budgets, and what it sees of the store. */
-type Sharing = {
+type PeerTasks = {
 	readonly rights: RightsKeeper;
 	readonly storeChanges: StoreChanges;
 	readonly close: () => Promise<void>;
 };
 
 /** Puts together the tasks that talk to peers: the keeper of rights, loans, change notifications, and the links they use. */
-export const startSharing = ({host, hall, holder, address, rightsStore, directory, timeouts, log, now}: Options): Sharing => {
+export const startPeerTasks = ({host, hall, holder, address, rightsStore, directory, timeouts, log, now}: Options): PeerTasks => {
 	const loanClient = createLoanClient({
 		mesh: () => links.mesh(),
 		receivedFrom: (budget, lender) => rights.receivedFrom(budget, lender),
--- a/packages/entry/src/lib/lending/create-client-demand.ts
+++ b/packages/entry/src/lib/lending/create-client-demand.ts
@@ -9,7 +9,7 @@
 	readonly note: (client: string, budget: string, total: number) => number;
 };
 
-/** Creates the record of clients' demand. The first word of a client counts whole. */
+/** Creates the record of clients' demand. The first total of a client counts whole. */
 export const createClientDemand = (): ClientDemand => {
 	const totals = new LRUCache<string, number>({max: maxEntries});
 	return {
--- a/packages/entry/src/lib/sending/forwarded-headers.ts
+++ b/packages/entry/src/lib/sending/forwarded-headers.ts
@@ -9,7 +9,7 @@
 	readonly organisation: string | undefined;
 	readonly timeLeftMs: number;
 	readonly bodyBytes: number;
-	/** Where a stream is to be taken up; `undefined` leaves the caller's own word. */
+	/** Where a stream is to be taken up; `undefined` leaves what the caller said. */
 	readonly lastEventId: string | undefined;
 	readonly hasBody: boolean;
 };
--- a/packages/entry/src/start-entry-host.ts
+++ b/packages/entry/src/start-entry-host.ts
@@ -11,7 +11,7 @@
 import {scheduleByTimer} from './lib/host/schedule-by-timer.js';
 import {startHealthWatch} from './lib/host/start-health-watch.js';
 import {startServers} from './lib/host/start-servers.js';
-import {startSharing} from './lib/host/start-sharing.js';
+import {startPeerTasks} from './lib/host/start-peer-tasks.js';
 import type {HostServices} from './lib/request/host-services.js';
 import {serveRequest} from './lib/request/serve-request.js';
 import {createConnectionPool} from './lib/sending/create-connection-pool.js';
@@ -36,10 +36,10 @@
 	const holder = newHolder(host);
 	const open = createRequestCounter(now);
 	const pool = createConnectionPool(now);
-	const sharing = startSharing({
+	const peerTasks = startPeerTasks({
 		host, hall, holder, address: listen.peers, rightsStore, directory, timeouts, log, now,
 	});
-	const {rights} = sharing;
+	const {rights} = peerTasks;
 	const health = startHealthWatch({
 		hall, bounds, timeouts, open: open.count, log, now,
 	});
@@ -79,7 +79,7 @@
 	log('started', {holder, hall});
 
 	return {
-		storeChanges: sharing.storeChanges,
+		storeChanges: peerTasks.storeChanges,
 		addresses: servers.addresses,
 		configure(next) {
 			if (config !== undefined && next.version <= config.version) {
@@ -102,7 +102,7 @@
 			health.close();
 			servers.kill();
 			pool.keepOnly(new Set());
-			await sharing.close();
+			await peerTasks.close();
 		},
 		async stop() {
 			isStopping = true;
@@ -116,7 +116,7 @@
 			// What open requests had reserved is free now, and goes back as well.
 			await rights.retire();
 			health.close();
-			await sharing.close();
+			await peerTasks.close();
 			log('stopped', {open: open.count()});
 		},
 	};
--- a/packages/ledger/src/hold-ahead/hold-ahead-by-share.ts
+++ b/packages/ledger/src/hold-ahead/hold-ahead-by-share.ts
@@ -5,7 +5,7 @@
 
 Rights that sit in the store are out of reach in a cut; rights at a holder are not. So nothing is kept back
 in the store beyond `1 - shareOfRest`, however long the cut will be. While halls can reach each other,
-transfers mend a split that turns out wrong.
+transfers correct a split that turns out wrong.
 
 `deckwheeld` holds by this policy. Measured in docs/design/hold-ahead.md.
 */
--- a/packages/ledger/src/lib/step-message.ts
+++ b/packages/ledger/src/lib/step-message.ts
@@ -44,7 +44,7 @@
 };
 
 // A snapshot of a newer epoch may come before this host read that pair from the store.
-// Only a primary that the store confirmed sends one, so it is taken as news of the pair.
+// Only a primary that the store confirmed sends one, so it tells of a newer pair.
 const stepSnapshot = (replica: Replica, from: string, message: ReplicaMessage & {type: 'snapshot'}): ReplicaStep => {
 	const {pair, seq} = message;
 	const isNews = pair.epoch > replica.pair.epoch;
