--- /dev/null
+++ b/packages/entry/src/test/rights-after-deaths.test.ts
@@ -0,0 +1,56 @@
+import test from 'ava';
+import {
+	holdAheadByRate, unallocated, type DrawPlan, type RightsObject,
+} from '@deckwheel/ledger';
+import {emptyHostAccount} from '../lib/rights/empty-host-account.js';
+import {holdAheadSettings} from '../lib/rights/hold-ahead-settings.js';
+import type {HostAccount} from '../lib/rights/host-account.js';
+import {planDrawAmount} from '../lib/rights/plan-draw-amount.js';
+import {planSlotWrite} from '../lib/rights-store/plan-slot-write.js';
+import {prepareRights} from '../lib/rights-store/prepare-rights.js';
+
+const budget = 'org';
+const limit = 1_000_000;
+const host = 'edge-1';
+const limits = new Map([[budget, limit]]);
+const holdAhead = holdAheadByRate(holdAheadSettings);
+
+const write = (rights: RightsObject, holder: string, account: HostAccount, isRetiring: boolean): Extract<DrawPlan, {type: 'write'}> => {
+	const plan = planSlotWrite({
+		host,
+		holder,
+		rights,
+		limits,
+		version: 1,
+		accountOf: () => account,
+		isConcerned: () => true,
+		wants: () => (view, own) => planDrawAmount({
+			account, available: account.granted - account.settled, missing: 0, view, rights: own, holder, holdAhead, isRetiring,
+		}),
+	});
+	if (plan.type !== 'write') {
+		throw new Error('deposed');
+	}
+
+	return plan;
+};
+
+/** A life that draws ahead, spends and reports some tokens, and dies. */
+const liveOnce = (rights: RightsObject, holder: string, spent: number): RightsObject => {
+	const drawn = write(rights, holder, emptyHostAccount, false);
+	const {granted} = drawn.grants[0]!;
+	return write(drawn.rights, holder, {...emptyHostAccount, granted, settled: spent}, true).rights;
+};
+
+test('deaths of all hosts leave most of a budget that was hardly spent', t => {
+	let rights: RightsObject = {budgets: {}};
+	for (let life = 0; life < 10; life++) {
+		rights = liveOnce(rights, `${host}#${life}`, 1000);
+	}
+
+	const {budgets} = prepareRights(rights, {
+		host, holder: `${host}#last`, limits, version: 1,
+	});
+	const left = unallocated(budgets[budget]!);
+	t.true(left >= limit * 0.9, `${left} of ${limit} tokens can still be drawn; 10,000 were spent`);
+});
--- a/packages/host-kit/src/create-line-log.ts
+++ b/packages/host-kit/src/create-line-log.ts
@@ -1,5 +1,5 @@
 import process from 'node:process';
-import {formatLogLine} from './format-log-line.js';
+import {hostLogLine} from './host-log-line.js';
 import type {LogFields} from './log-fields.js';
 
 /**
@@ -22,8 +22,8 @@
 			return;
 		}
 
-		const line = formatLogLine({
-			time: new Date().toISOString(), host, event, ...fields, dropped: dropped > 0 ? dropped : undefined,
+		const line = hostLogLine({
+			time: new Date().toISOString(), host, event, fields, dropped,
 		});
 		dropped = 0;
 		process.stdout.write(`${line}\n`);
