--- a/packages/daemon/src/lib/placing/start-router.ts
+++ b/packages/daemon/src/lib/placing/start-router.ts
@@ -4,15 +4,15 @@
 	fail, succeed, type Outcome, type Refusal,
 } from '@deckwheel/core';
 import {
-	chooseEndpoint, emptyWaitingRoom, enterWaitingRoom, expireWaitingRoom, leaveWaitingRoom, rateByCost, rateByInFlight, rateByTurn, retryAfter, stepEndpoints, stepRetryBudget,
-	type CostRequest, type EndpointChoice, type EndpointEvent, type EndpointTable, type Priority, type RateEndpoint, type RetryBudget, type WaitingRequest, type WaitingRoom,
+	chooseEndpoint, rateByCost, rateByInFlight, rateByTurn, stepEndpoints, stepRetryBudget,
+	type CostRequest, type EndpointChoice, type EndpointEvent, type EndpointTable, type Priority, type RateEndpoint, type RetryBudget,
 } from '@deckwheel/routing';
-import got from 'got';
 import {LRUCache} from 'lru-cache';
-import {z} from 'zod';
 import type {Context} from '../process/context.js';
 import {repeat} from '../process/repeat.js';
 import {createBlockCacheEstimate} from './create-block-cache-estimate.js';
+import {createEndpointPolls} from './create-endpoint-polls.js';
+import {createRequestQueue} from './create-request-queue.js';
 import type {PlaceRequest} from './place-request.js';
 import type {Place} from './place.js';
 import type {RouterTask} from './router-task.js';
@@ -23,17 +23,19 @@
 /** How often it is looked at while nobody does, in ms. Chosen without a measurement. */
 const idlePumpMs = 500;
 
-/** The least time between two polls of an endpoint's load, in ms: it was 100, and 250 brought an idle host's cost down (docs/design/routing.md). */
+/**
+The least time between two polls of an endpoint's load, in ms: it was 100, and 250 brought an idle host's cost down
+(docs/design/routing.md).
+*/
 const leastPollMs = 250;
 
-/** Cache events are read once in so many polls of the load. */
+/** Cache events are read once in so many polls of the load. Chosen without a measurement. */
 const pollsPerCacheRead = 8;
-/** Each host in the hall slows the polls of load reports by this much, so that an endpoint's load from them stays bounded. */
+
+/** Each host in the hall slows the polls of load reports by this much, so that an endpoint's load from them stays bounded, in ms. */
 const pollMsPerHost = 25;
 
-/** How long an endpoint may take to report, in ms. Chosen without a measurement. */
-const pollTimeoutMs = 1000;
-/** How much endpoint time the share of quick work is judged by, in ms. */
+/** How much endpoint time the share of quick work is judged by, in ms. Chosen without a measurement. */
 const shareMemoryMs = 20_000;
 
 /** Sessions whose endpoint is remembered: a bound on memory. Chosen without a measurement. */
@@ -42,32 +44,32 @@
 /** When a caller should come back where no endpoint can be reached, in seconds. Chosen without a measurement. */
 const noEndpointRetrySeconds = 2;
 
-const loadSchema = z.object({running: z.number(), queued: z.number(), isLeaving: z.boolean().optional()});
-const cacheEventsSchema = z.object({next: z.number(), blocks: z.array(z.number())});
+/** Retries that are allowed before any request was noted. Chosen without a measurement. */
+const firstRetryCredit = 5;
 
 /** The policies that the setting `routing` names. The last two are baselines. */
 const ratings: Readonly<Record<'cost' | 'round_robin' | 'least_in_flight', RateEndpoint<CostRequest>>> = {cost: rateByCost, round_robin: rateByTurn, least_in_flight: rateByInFlight};
 
-type Waiter = {
-	readonly req: PlaceRequest;
-	readonly resolve: (outcome: Outcome<Place, Refusal>) => void;
-};
+const noEndpoint: Outcome<Place, Refusal> = fail({
+	code: 'no_endpoint',
+	message: 'No endpoint that serves this can be reached now.',
+	ran: 'not_run',
+	retryAfterSeconds: noEndpointRetrySeconds,
+});
 
 type Options = {readonly hostsInHall: () => number};
 
-/** Starts the task that knows the endpoints and lets requests wait for them. */
-export const startRouter = ({settings, clock, metrics, log}: Context, {hostsInHall}: Options): RouterTask => {
+/**
+Starts the task that knows the endpoints and lets requests wait for them. It owns the table of endpoints, the sessions and
+the retry budget; the queue belongs to `createRequestQueue`, reports of endpoints to `createEndpointPolls`.
+*/
+export const startRouter = (context: Context, {hostsInHall}: Options): RouterTask => {
+	const {settings, clock, metrics, log} = context;
 	const cacheEstimate = createBlockCacheEstimate();
 	const sessions = new LRUCache<string, string>({max: maxSessions});
-	const waiters = new Map<number, Waiter>();
-	const cacheCursors = new Map<string, number>();
-	const leaving = new Set<string>();
 	let bundle: Bundle | undefined;
 	let table: EndpointTable = new Map();
-	let room: WaitingRoom = emptyWaitingRoom;
-	let retryBudget: RetryBudget = {credit: 5};
-	let nextId = 1;
-	let polls = 0;
+	let retryBudget: RetryBudget = {credit: firstRetryCredit};
 	/** The part of the endpoints' time that quick requests have been taking. */
 	let quickShare = 0;
 
@@ -80,6 +82,13 @@
 		}
 	};
 
+	const polls = createEndpointPolls({
+		onLoad(endpoint, total) {
+			step({type: 'reported', endpoint, total});
+		},
+		onCached: cacheEstimate.note,
+	});
+
 	const choose = (request: PlaceRequest): EndpointChoice | undefined => chooseEndpoint(table, {
 		target: request.target,
 		hall: settings.hall,
@@ -88,7 +97,7 @@
 		promptTokens: request.promptTokens,
 		quickShare,
 		stickyTo: request.session === undefined ? undefined : sessions.get(request.session),
-		tried: [...request.tried, ...leaving],
+		tried: [...request.tried, ...polls.leaving()],
 	}, clock.monotonic(), ratings[settings.routing]);
 
 	const urlOf = (endpoint: string): string | undefined => bundle?.endpoints.find(({id}) => id === endpoint)?.url;
@@ -111,136 +120,53 @@
 			url: urlOf(endpoint)!,
 			reason,
 			succeeded(outputTokens) {
-				noteShare(request.priority, clock.monotonic() - startedAt);
+				const durationMs = clock.monotonic() - startedAt;
+				noteShare(request.priority, durationMs);
 				step({
-					type: 'succeeded', endpoint, durationMs: clock.monotonic() - startedAt, outputTokens,
+					type: 'succeeded', endpoint, durationMs, outputTokens,
 				});
-				pump();
+				queue.pump();
 			},
 			failed() {
 				step({type: 'failed', endpoint});
-				pump();
+				queue.pump();
 			},
 			abandoned() {
 				step({type: 'abandoned', endpoint});
-				pump();
+				queue.pump();
 			},
 		};
 	};
 
-	const overloaded = (): Outcome<Place, Refusal> => {
-		metrics.count('queue.refused');
-		return fail({
-			code: 'overloaded',
-			message: 'All endpoints are busy, and the request could not start in time.',
-			ran: 'not_run',
-			retryAfterSeconds: retryAfter(room),
-		});
-	};
-
-	const noEndpoint: Outcome<Place, Refusal> = fail({
-		code: 'no_endpoint',
-		message: 'No endpoint that serves this can be reached now.',
-		ran: 'not_run',
-		retryAfterSeconds: noEndpointRetrySeconds,
+	const queue = createRequestQueue(context, {
+		hasPlace: request => choose(request)?.hasRoom === true,
+		takePlace(request) {
+			const choice = choose(request);
+			return choice && take(request, choice);
+		},
+		onWait() {
+			pumping.wake();
+		},
 	});
 
-	const turnAway = (requests: readonly WaitingRequest[]): void => {
-		for (const {id} of requests) {
-			const waiter = waiters.get(id);
-			waiters.delete(id);
-			waiter?.resolve(overloaded());
-		}
-	};
-
-	const startNext = (): boolean => {
-		const exit = leaveWaitingRoom(room, ({id}) => choose(waiters.get(id)!.req)?.hasRoom === true, clock.monotonic());
-		room = exit.room;
-		if (!exit.next) {
-			return false;
-		}
-
-		const {req, resolve} = waiters.get(exit.next.id)!;
-		waiters.delete(exit.next.id);
-		resolve(succeed(take(req, choose(req)!)));
-		return true;
-	};
-
-	const pump = (): void => {
-		const {room: next, expired} = expireWaitingRoom(room, clock.monotonic());
-		room = next;
-		turnAway(expired);
-		while (room.waiting.length > 0 && startNext()) {
-			// Each turn starts one request.
-		}
-
-		metrics.gauge('queue.length', room.waiting.length);
-	};
-
-	const wait = async (request: PlaceRequest): Promise<Outcome<Place, Refusal>> => {
-		const {target, organisation, weight, priority, deadline} = request;
-		const id = nextId++;
-		const limit = bundle?.limits.maxQueued ?? 0;
-		const entry = enterWaitingRoom(room, {
-			id, target, organisation, weight, priority, startBy: deadline,
-		}, limit, clock.monotonic());
-		room = entry.room;
-		if (!entry.isAdmitted) {
-			return overloaded();
-		}
-
-		pumping.wake();
-		return new Promise(resolve => {
-			waiters.set(id, {req: request, resolve});
-		});
-	};
-
-	const isAhead = ({priority}: PlaceRequest): boolean =>
-		room.waiting.some(other => other.priority === priority || priority === 'slow' || other.priority === 'quick');
-
-	const pollLoad = async (endpoint: string, url: string): Promise<void> => {
-		try {
-			const report = loadSchema.parse(await got(`${url}/load`, {timeout: {request: pollTimeoutMs}, retry: {limit: 0}}).json());
-			step({type: 'reported', endpoint, total: report.running + report.queued});
-			// An endpoint may say itself that it is leaving.
-			if (report.isLeaving) {
-				leaving.add(endpoint);
-			} else {
-				leaving.delete(endpoint);
-			}
-		} catch {
-			// A report that does not come makes the last one old, and the choice does without it.
-		}
-	};
-
-	const pollCache = async (endpoint: string, url: string): Promise<void> => {
-		try {
-			const after = cacheCursors.get(endpoint) ?? 0;
-			const events = cacheEventsSchema.parse(await got(`${url}/cache-events`, {searchParams: {after}, timeout: {request: pollTimeoutMs}, retry: {limit: 0}}).json());
-			cacheCursors.set(endpoint, events.next);
-			cacheEstimate.note(endpoint, events.blocks);
-		} catch {
-			// Cache events are a help, never a need.
-		}
-	};
-
+	let polled = 0;
 	const polling = repeat(async () => {
-		const polled = (bundle?.endpoints ?? []).filter(({id, kind, hall}) =>
+		const near = (bundle?.endpoints ?? []).filter(({id, kind, hall}) =>
 			kind === 'model' && (hall === settings.hall || (table.get(id)?.inFlight ?? 0) > 0));
-		const isCacheTurn = polls++ % pollsPerCacheRead === 0;
-		await Promise.all(polled.flatMap(({id, url}) => [pollLoad(id, url), ...(isCacheTurn ? [pollCache(id, url)] : [])]));
+		const isCacheTurn = polled++ % pollsPerCacheRead === 0;
+		await Promise.all(near.flatMap(({id, url}) => [polls.load(id, url), ...(isCacheTurn ? [polls.cache(id, url)] : [])]));
 	}, () => Math.max(leastPollMs, hostsInHall() * pollMsPerHost));
 
 	const pumping = repeat(async () => {
-		pump();
+		queue.pump();
 		await delay(0);
-	}, () => room.waiting.length > 0 ? pumpEveryMs : idlePumpMs);
+	}, () => queue.length() > 0 ? pumpEveryMs : idlePumpMs);
 
 	return {
 		configure(next) {
 			bundle = next;
 			step({type: 'configured', endpoints: next.endpoints});
-			pump();
+			queue.pump();
 		},
 		async place(request) {
 			({budget: retryBudget} = stepRetryBudget(retryBudget, 'request'));
@@ -249,7 +175,11 @@
 				return noEndpoint;
 			}
 
-			return choice.hasRoom && !isAhead(request) ? succeed(take(request, choice)) : wait(request);
+			if (choice.hasRoom && !queue.isAhead(request)) {
+				return succeed(take(request, choice));
+			}
+
+			return queue.wait(request, bundle?.limits.maxQueued ?? 0);
 		},
 		mayRetry() {
 			const {budget, isAllowed} = stepRetryBudget(retryBudget, 'retry');
@@ -261,7 +191,7 @@
 		table: () => table,
 		async stop() {
 			await Promise.all([polling.stop(), pumping.stop()]);
-			turnAway(room.waiting);
+			queue.turnAllAway();
 		},
 	};
 };
--- a/packages/daemon/src/lib/slots/start-slots.ts
+++ b/packages/daemon/src/lib/slots/start-slots.ts
@@ -1,20 +1,18 @@
 import {
-	holderName, newReplica, planPair, stepReplica, type Pair, type PairMap, type PairView, type Replica, type ReplicaEffect, type ReplicaEvent, type SlotReply,
+	holderName, planPair, type Pair, type PairMap, type PairView,
 } from '@deckwheel/ledger';
 import type {Mesh} from '@deckwheel/mesh';
-import type {Context} from '../process/context.js';
-import {hostOfIncarnation} from '../membership/host-of-incarnation.js';
 import type {MembershipTask} from '../membership/membership-task.js';
+import type {Context} from '../process/context.js';
 import {repeat} from '../process/repeat.js';
+import {createReplicas} from './create-replicas.js';
 import {pairMapSchema} from './pair-map-schema.js';
+import {partnersOf} from './partners-of.js';
 import type {SlotsTask} from './slots-task.js';
 
 /** How often pairs are planned, in ms. Chosen without a measurement. */
 const planEveryMs = 200;
 
-/** A primary whose backup acknowledged nothing for this long sends everything again. */
-const resyncAfterMs = 600;
-
 type Options = {
 	readonly mesh: Mesh;
 	readonly membership: MembershipTask;
@@ -25,63 +23,25 @@
 const emptyPair: Pair = {epoch: 0, generation: 0};
 
 /**
-Starts the task that owns the replicas. It runs the pure decisions, carries out
-their effects, and asks the store for other pairs when hosts come and go.
+Starts the task that owns the pairs of the hall, and with them the replicas (`createReplicas`): it asks the store for other
+pairs when hosts come and go. Which pairs is decided by `planPair`.
 */
 export const startSlots = (context: Context, {mesh, membership}: Options): SlotsTask => {
-	const {settings, self, clock, platform, log, metrics} = context;
+	const {settings, self, platform, log, metrics} = context;
 	const objectKey = `pairs/${settings.hall}`;
-	const replicas = new Map<number, Replica>();
-	const waiters = new Map<number, (reply: SlotReply) => void>();
-	const unackedSince = new Map<number, number>();
+	const replicas = createReplicas(context, {mesh, membership});
 	let map: PairMap = {version: 0, pairs: Array.from({length: settings.slots}, () => emptyPair)};
-	let partnersNow: ReadonlySet<string> = new Set();
-	let nextId = 1;
+	let partners: ReadonlySet<string> = new Set();
 	/** Whether the store was read, so that an empty map means that there is none. */
 	let isMapRead = false;
 
-	const replicaOf = (slot: number): Replica => replicas.get(slot) ?? newReplica(self, slot);
-
-	const carryOut = (effect: ReplicaEffect): void => {
-		if (effect.type === 'send') {
-			const address = membership.addressOf(effect.to);
-			if (address !== undefined) {
-				mesh.send(address, effect.message);
-			}
-
-			return;
-		}
-
-		const waiter = waiters.get(effect.id);
-		waiters.delete(effect.id);
-		waiter?.(effect.reply);
-	};
-
-	const noteAcks = (slot: number, replica: Replica): void => {
-		const isBehind = replica.role === 'primary' && replica.acked < replica.seq;
-		if (!isBehind) {
-			unackedSince.delete(slot);
-		} else if (!unackedSince.has(slot)) {
-			unackedSince.set(slot, clock.monotonic());
-		}
-	};
-
-	const step = (slot: number, event: ReplicaEvent): void => {
-		const {replica, effects} = stepReplica(replicaOf(slot), event, clock.wall());
-		replicas.set(slot, replica);
-		noteAcks(slot, replica);
-		for (const effect of effects) {
-			carryOut(effect);
-		}
-	};
-
 	const configure = (slot: number, pair: Pair): void => {
-		if (pair.epoch <= replicaOf(slot).pair.epoch) {
+		if (pair.epoch <= replicas.of(slot).pair.epoch) {
 			return;
 		}
 
-		step(slot, {type: 'configure', pair, holder: holderName(settings.hall, pair.generation)});
-		const {role} = replicaOf(slot);
+		replicas.step(slot, {type: 'configure', pair, holder: holderName(settings.hall, pair.generation)});
+		const {role} = replicas.of(slot);
 		if (pair.primary === self || pair.backup === self) {
 			log('info', 'pair_changed', {
 				slot, epoch: pair.epoch, generation: pair.generation, role, primary: pair.primary, backup: pair.backup,
@@ -95,7 +55,7 @@
 		}
 
 		map = next;
-		partnersNow = partners();
+		partners = partnersOf(map, self);
 		for (const [slot, pair] of next.pairs.entries()) {
 			configure(slot, pair);
 		}
@@ -120,7 +80,7 @@
 	};
 
 	const isHandoverReady = (slot: number): boolean => {
-		const replica = replicaOf(slot);
+		const replica = replicas.of(slot);
 		return replica.role === 'primary' && replica.pending.size === 0 && replica.acked >= replica.seq;
 	};
 
@@ -132,7 +92,7 @@
 			live,
 			isGone: membership.isGone,
 			isLost: membership.isLost,
-			isSynced: slot => replicaOf(slot).synced,
+			isSynced: slot => replicas.of(slot).synced,
 			isHandoverReady,
 		};
 	};
@@ -162,17 +122,8 @@
 		await readMap();
 	};
 
-	const resync = (): void => {
-		for (const [slot, since] of unackedSince) {
-			if (clock.monotonic() - since > resyncAfterMs) {
-				unackedSince.set(slot, clock.monotonic());
-				step(slot, {type: 'resync'});
-			}
-		}
-	};
-
 	const looking = repeat(async () => {
-		resync();
+		replicas.resync();
 		if (!isMapRead && !await readMap()) {
 			return;
 		}
@@ -183,34 +134,18 @@
 		}
 	}, () => planEveryMs);
 
-	const partners = (): ReadonlySet<string> => {
-		const members = map.pairs
-			.map(({primary, backup}) => [primary, backup])
-			.filter(pair => pair.includes(self))
-			.flat();
-		return new Set(members.flatMap(member => member === undefined || member === self ? [] : [hostOfIncarnation(member)]));
-	};
-
 	return {
-		async submit(slot, request) {
-			const id = nextId++;
-			return new Promise(resolve => {
-				waiters.set(id, resolve);
-				step(slot, {type: 'request', id, request});
-			});
-		},
+		submit: replicas.submit,
 		onMessage(from, message) {
-			if (message.slot >= settings.slots) {
-				return;
+			if (message.slot < settings.slots) {
+				replicas.onMessage(from, message);
 			}
-
-			step(message.slot, {type: 'message', from, message});
 		},
 		pairs: () => map,
 		pairOf: slot => map.pairs[slot],
-		partners: () => partnersNow,
-		replica: slot => replicas.get(slot),
-		ownSlots: () => [...replicas.values()].filter(({role}) => role === 'primary').map(({slot}) => slot),
+		partners: () => partners,
+		replica: replicas.find,
+		ownSlots: () => replicas.all().filter(({role}) => role === 'primary').map(({slot}) => slot),
 		adopt,
 		wake: looking.wake,
 		stop: looking.stop,
