--- a/packages/daemon/src/lib/draws/start-draw-task.ts
+++ b/packages/daemon/src/lib/draws/start-draw-task.ts
@@ -2,14 +2,15 @@
 	accountOf, available, drawAmount, emptyLedger, holdAheadByShare, planDraw, surplus, transferred, viewStore, type DrawRequest, type HoldAhead, type RightsObject, type StoreView,
 } from '@deckwheel/ledger';
 import type {Bundle} from '@deckwheel/bundle';
-import type {StoreError} from '@deckwheel/store-client';
 import type {Context} from '../process/context.js';
 import {repeat} from '../process/repeat.js';
 import type {SlotsTask} from '../slots/slots-task.js';
+import {createTurns} from '../process/create-turns.js';
 import {createDemandMeter} from './create-demand-meter.js';
+import {createNeeds} from './create-needs.js';
+import {createRightsCache} from './create-rights-cache.js';
 import type {DrawOutcome} from './draw-outcome.js';
 import type {DrawTask} from './draw-task.js';
-import {rightsObjectSchema} from './rights-object-schema.js';
 
 /** Conflicts with other halls' writes to the same object before the draw waits for its next turn. */
 const maxConflicts = 8;
@@ -17,6 +18,9 @@
 /** Before a waiting request is told that a budget is used up, the store is read at least this lately, in ms. */
 const freshMs = 250;
 
+/** The part of what remains that is held where the bundle says nothing: half strands less and refuses more (docs/design/hold-ahead.md). */
+const defaultShareOfRest = 0.5;
+
 /** Seconds over which demand is averaged where the bundle says nothing: 30 s split rights wrongly, 1200 s lagged (docs/design/hold-ahead.md). */
 const defaultMemorySeconds = 300;
 
@@ -25,60 +29,32 @@
 	readonly bundle: () => Bundle | undefined;
 };
 
-type ReadObject = {
-	readonly version: number;
-	readonly rights: RightsObject;
-	/** Monotonic ms. */
-	readonly readAt: number;
-};
-
 type Flush = {
 	readonly rest: ReadonlyMap<string, number>;
 	readonly unknown: readonly string[];
 };
 
-/** Starts the task that moves rights between the store and this host's slots, one write at a time for each slot. */
+/**
+Starts the task that moves rights between the store and this host's slots, one write at a time for each slot. What a write
+says is decided by `planDraw`, how much is drawn by `drawAmount`, what goes back by `surplus`.
+*/
 export const startDrawTask = (context: Context, {slots, bundle}: Options): DrawTask => {
-	const {settings, clock, platform, log, metrics} = context;
+	const {settings, clock} = context;
 	const meter = createDemandMeter(clock, () => bundle()?.policy.memorySeconds ?? defaultMemorySeconds);
-	const needs = new Map<string, number>();
-	const turns = new Map<number, Promise<unknown>>();
-	const slotOfNeed = new Map<string, number>();
-	const objects = new Map<number, ReadObject>();
+	const needs = createNeeds();
+	const turns = createTurns<number>();
+	const cache = createRightsCache(context);
 
 	const hallCount = (): number => bundle()?.halls.length ?? 1;
-	const policy = (): HoldAhead => holdAheadByShare(bundle()?.policy ?? {shareOfRest: 0.5});
-
-	const readObject = async (slot: number): Promise<boolean> => {
-		const outcome = await platform.get(`rights/${slot}`);
-		if (!outcome.ok) {
-			if (outcome.error === 'missing') {
-				objects.set(slot, {version: 0, rights: {budgets: {}}, readAt: clock.monotonic()});
-			}
-
-			return outcome.error === 'missing';
-		}
-
-		const parsed = rightsObjectSchema.safeParse(outcome.value.value);
-		if (!parsed.success) {
-			log('error', 'rights_unusable', {slot});
-			return false;
-		}
-
-		objects.set(slot, {version: outcome.value.version, rights: parsed.data, readAt: clock.monotonic()});
-		return true;
-	};
-
-	const needsOf = (slot: number): readonly string[] =>
-		[...needs.keys()].filter(budget => slotOfNeed.get(budget) === slot);
+	const policy = (): HoldAhead => holdAheadByShare(bundle()?.policy ?? {shareOfRest: defaultShareOfRest});
 
 	const drawRequests = (slot: number): readonly DrawRequest[] => {
 		const {ledger} = (slots.replica(slot)!);
-		const budgets = new Set([...ledger.accounts.keys(), ...needsOf(slot)]);
+		const budgets = new Set([...ledger.accounts.keys(), ...needs.budgetsOf(slot)]);
 		return [...budgets].map(budget => {
 			const account = accountOf(ledger, budget);
 			const {granted, settled, billed} = account;
-			const missing = needs.get(budget) ?? 0;
+			const missing = needs.of(budget);
 			const wants = (store: StoreView): number =>
 				drawAmount({
 					target: policy()({tokensPerSecond: meter.rate(budget), holders: hallCount(), ...store}), available: available(account), missing,
@@ -92,7 +68,7 @@
 	// What is more than enough goes back, so that other halls can draw it. It leaves the ledger first.
 	const surplusOf = (slot: number): ReadonlyArray<{readonly budget: string; readonly amount: number}> => {
 		const ledger = slots.replica(slot)?.ledger ?? emptyLedger('');
-		const known = objects.get(slot)?.rights.budgets ?? {};
+		const known = cache.get(slot)?.rights.budgets ?? {};
 		return [...ledger.accounts].flatMap(([budget, account]) => {
 			const record = known[budget];
 			if (!record || needs.has(budget)) {
@@ -109,33 +85,8 @@
 	};
 
 	const isStale = (slot: number): boolean => {
-		const object = objects.get(slot);
-		return !object || (needsOf(slot).length > 0 && clock.monotonic() - object.readAt > freshMs);
-	};
-
-	// A draw that came while the write was under way still stands.
-	const dropNeeds = (asked: ReadonlyMap<string, number>): void => {
-		for (const [budget, tokens] of asked) {
-			const left = (needs.get(budget) ?? 0) - tokens;
-			if (left > 0) {
-				needs.set(budget, left);
-			} else {
-				needs.delete(budget);
-				slotOfNeed.delete(budget);
-			}
-		}
-	};
-
-	const put = async (slot: number, rights: RightsObject, version: number): Promise<StoreError | undefined> => {
-		const outcome = await platform.put(`rights/${slot}`, rights, version);
-		metrics.count('rights.write', {outcome: outcome.ok ? 'ok' : outcome.error});
-		if (!outcome.ok) {
-			objects.delete(slot);
-			return outcome.error;
-		}
-
-		objects.set(slot, {version: outcome.value.version, rights, readAt: clock.monotonic()});
-		return undefined;
+		const object = cache.get(slot);
+		return !object || (needs.budgetsOf(slot).length > 0 && clock.monotonic() - object.readAt > freshMs);
 	};
 
 	const adoptGrants = async (slot: number, grants: ReadonlyArray<{readonly budget: string; readonly granted: number}>): Promise<void> => {
@@ -147,7 +98,7 @@
 	};
 
 	const writeOnce = async (slot: number): Promise<Flush | 'again' | undefined> => {
-		if (isStale(slot) && !await readObject(slot)) {
+		if (isStale(slot) && !await cache.read(slot)) {
 			return undefined;
 		}
 
@@ -156,13 +107,13 @@
 			return undefined;
 		}
 
-		const {version, rights} = objects.get(slot)!;
+		const {version, rights} = cache.get(slot)!;
 		const requests = drawRequests(slot);
-		const asked = new Map(needsOf(slot).map(budget => [budget, needs.get(budget)!]));
+		const asked = new Map(needs.budgetsOf(slot).map(budget => [budget, needs.of(budget)]));
 		const plan = planDraw(rights, replica.ledger.holder, replica.pair.epoch, requests);
 		if (plan.type === 'deposed') {
 			// Its pair changed; another host writes for the slot now, or this one will know soon.
-			objects.delete(slot);
+			cache.forget(slot);
 			return undefined;
 		}
 
@@ -170,14 +121,14 @@
 		// holds what this one would write. Nothing older can land any more, since the version moved on.
 		const isThere = JSON.stringify(plan.rights) === JSON.stringify(rights);
 		if (!isThere) {
-			const error = await put(slot, plan.rights, version);
+			const error = await cache.write(slot, plan.rights, version);
 			if (error !== undefined) {
 				// After a lost answer the store is read again: the next write settles what this one did.
 				return error === 'unavailable' ? undefined : 'again';
 			}
 		}
 
-		dropNeeds(asked);
+		needs.subtract(asked);
 		await adoptGrants(slot, plan.grants);
 		return {rest: plan.rest, unknown: plan.unknown};
 	};
@@ -193,23 +144,8 @@
 		return undefined;
 	};
 
-	// One turn at a time for each slot. Inside a turn, a give-back is on both hosts before the
+	// Writes of a slot take turns. Inside a turn, a give-back is on both hosts before the
 	// store hears of it: otherwise a successor could still spend what the store offers elsewhere.
-	const takeTurn = async <T>(slot: number, work: () => Promise<T>): Promise<T> => {
-		const before = turns.get(slot);
-		const turn = (async () => {
-			await before;
-			return work();
-		})();
-		turns.set(slot, turn);
-		const result = await turn;
-		if (turns.get(slot) === turn) {
-			turns.delete(slot);
-		}
-
-		return result;
-	};
-
 	const giveBack = async (slot: number, amounts: ReadonlyArray<{readonly budget: string; readonly amount: number}>): Promise<void> => {
 		if (amounts.length > 0) {
 			await slots.submit(slot, {type: 'give_back', amounts});
@@ -217,7 +153,7 @@
 	};
 
 	const flushSlot = async (slot: number): Promise<Flush | undefined> =>
-		takeTurn(slot, async () => {
+		turns.take(slot, async () => {
 			await giveBack(slot, surplusOf(slot));
 			return write(slot);
 		});
@@ -230,11 +166,10 @@
 
 	return {
 		async need(slot, budget, missing): Promise<DrawOutcome> {
-			slotOfNeed.set(budget, slot);
-			needs.set(budget, (needs.get(budget) ?? 0) + missing);
-			const flush = await takeTurn(slot, async () => write(slot));
+			needs.add(slot, budget, missing);
+			const flush = await turns.take(slot, async () => write(slot));
 			if (!flush) {
-				needs.delete(budget);
+				needs.drop(budget);
 				return {type: 'store_away'};
 			}
 
@@ -242,7 +177,7 @@
 		},
 		noteDemand: meter.note,
 		async giveBackAll(slot) {
-			await takeTurn(slot, async () => {
+			await turns.take(slot, async () => {
 				const {ledger} = slots.replica(slot)!;
 				await giveBack(slot, [...ledger.accounts].map(([budget, account]) => ({budget, amount: Math.max(0, available(account))})));
 				return write(slot);
--- /dev/null
+++ b/packages/daemon/src/lib/membership/silence-limits.ts
@@ -0,0 +1,46 @@
+import {hostsBeatenInTurn} from './hosts-beaten-in-turn.js';
+
+/** Heartbeats missed before a host counts as gone. Chosen without a measurement. */
+const missedBeforeGone = 5;
+
+/** Heartbeats that a host may miss before nothing new is planned with it. Chosen without a measurement. */
+const missedBeforeDoubt = 2.5;
+
+/** Heartbeats that a host may miss before it is taken to have lost its memory. Chosen without a measurement. */
+const missedBeforeLost = 8;
+
+/** A host is not taken for gone before this silence, in ms, however fast heartbeats are. Chosen without a measurement. */
+const leastSilenceMs = 1500;
+
+/** Nor for lost before this one, in ms. Chosen without a measurement. */
+const leastLostMs = 5000;
+
+type Inputs = {
+	/** Between two heartbeats, in ms. */
+	readonly heartbeatMs: number;
+	/** Hosts of the own hall, without this one. */
+	readonly hostsInHall: number;
+	/** Whether the host shares a pair with this one. */
+	readonly isPartner: boolean;
+};
+
+/** After how much silence a host is judged, in ms. */
+type Limits = {
+	/** It is no longer counted as live. */
+	readonly doubtMs: number;
+	/** It counts as gone: pairs go on without it. */
+	readonly goneMs: number;
+	/** It is taken to have lost what it knew. */
+	readonly lostMs: number;
+};
+
+/** Decides how long a host may be silent. Partners hear of each other at every beat, all others once a rotation. Pure. */
+export const silenceLimits = ({heartbeatMs, hostsInHall, isPartner}: Inputs): Limits => {
+	const rotationMs = heartbeatMs * Math.max(1, Math.ceil(hostsInHall / hostsBeatenInTurn));
+	const intervalMs = isPartner ? heartbeatMs : rotationMs;
+	return {
+		doubtMs: Math.max(leastSilenceMs, missedBeforeDoubt * intervalMs),
+		goneMs: Math.max(leastSilenceMs, missedBeforeGone * intervalMs),
+		lostMs: Math.max(leastLostMs, missedBeforeLost * intervalMs),
+	};
+};
--- a/packages/daemon/src/lib/membership/start-membership.ts
+++ b/packages/daemon/src/lib/membership/start-membership.ts
@@ -1,7 +1,8 @@
 import type {Mesh} from '@deckwheel/mesh';
-import {z} from 'zod';
 import type {Context} from '../process/context.js';
 import {repeat} from '../process/repeat.js';
+import {hostsBeatenInTurn} from './hosts-beaten-in-turn.js';
+import {heartbeatReplySchema} from './heartbeat-reply-schema.js';
 import {isBelievedLost} from './is-believed-lost.js';
 import {hostOfIncarnation} from './host-of-incarnation.js';
 import type {HostStatus} from './host-status.js';
@@ -9,26 +10,9 @@
 import type {MembershipEvent} from './membership-event.js';
 import type {MembershipTask} from './membership-task.js';
 import type {Membership} from './membership.js';
+import {silenceLimits} from './silence-limits.js';
 import {stepMembership} from './step-membership.js';
 
-/** Heartbeats missed before a host counts as gone. */
-const missedBeforeGone = 5;
-
-/** Heartbeats that a host may miss before another one is asked of it. Chosen without a measurement. */
-const missedBeforeDoubt = 2.5;
-
-/** A host is not taken for gone before this silence, in ms, however fast heartbeats are. Chosen without a measurement. */
-const leastSilenceMs = 1500;
-
-/** Hosts of the hall that get a heartbeat each time, in turn, besides the partners in pairs: so the cost does not grow with the hall. */
-const beatenInTurn = 8;
-
-/** A host that was heard of, and now is silent for this long, is believed to have lost its memory. */
-const leastLostMs = 5000;
-
-/** Heartbeats that a host may miss before it is taken for lost for good. Chosen without a measurement. */
-const missedBeforeLost = 8;
-
 /** How often the list of hosts is read, in ms, by the readers of the turn. Chosen without a measurement. */
 const listEveryMs = 3000;
 
@@ -44,19 +28,6 @@
 /** Hosts of each other hall that are known at a time: enough for one that answers. Chosen without a measurement. */
 const maxRemoteHosts = 3;
 
-const heartbeatReplySchema = z.object({
-	status: z.object({
-		host: z.string(),
-		incarnation: z.string(),
-		hall: z.string(),
-		address: z.string(),
-		state: z.enum(['live', 'leaving']),
-		pairsVersion: z.number(),
-		bundleVersion: z.number(),
-	}),
-	known: z.array(z.object({host: z.string(), hall: z.string(), address: z.string()})),
-});
-
 type Options = {
 	readonly mesh: Mesh;
 	readonly address: string;
@@ -67,7 +38,10 @@
 	readonly onHeard: (status: HostStatus) => void;
 };
 
-/** Starts the task that finds out which hosts there are, by settings, the platform's list, and heartbeats. */
+/**
+Starts the task that finds out which hosts there are, by settings, the platform's list, and heartbeats. Who is gone or lost is
+decided by `silenceLimits` and `isBelievedLost`, what is known of hosts by `stepMembership`.
+*/
 export const startMembership = (context: Context, options: Options): MembershipTask => {
 	const {settings, self, clock, platform, log} = context;
 	const {
@@ -86,20 +60,17 @@
 
 	const others = (): readonly KnownHost[] => [...membership.hosts.values()].filter(({host}) => host !== settings.host);
 	const inHall = (): readonly KnownHost[] => others().filter(({hall}) => hall === settings.hall);
-	const rotationMs = (): number => settings.heartbeatMs * Math.max(1, Math.ceil(inHall().length / beatenInTurn));
-
-	// Partners hear of each other at every beat, all others once a rotation.
-	const intervalFor = (host: string): number => partners().has(host) ? settings.heartbeatMs : rotationMs();
+	const limitsFor = (host: string) => silenceLimits({
+		heartbeatMs: settings.heartbeatMs, hostsInHall: inHall().length, isPartner: partners().has(host),
+	});
 	const silenceMs = ({heardAt}: KnownHost): number => clock.monotonic() - heardAt;
-	const goneAfterMs = (host: string): number => Math.max(leastSilenceMs, missedBeforeGone * intervalFor(host));
-	const doubtAfterMs = (host: string): number => Math.max(leastSilenceMs, missedBeforeDoubt * intervalFor(host));
 
 	const status = (): HostStatus => ({
 		host: settings.host, incarnation: self, hall: settings.hall, address, state, ...versions(),
 	});
 
 	const isLive = (known: KnownHost): boolean =>
-		known.status?.state === 'live' && !known.isListedLeaving && silenceMs(known) < doubtAfterMs(known.host);
+		known.status?.state === 'live' && !known.isListedLeaving && silenceMs(known) < limitsFor(known.host).doubtMs;
 
 	// Of each other hall, a few hosts are enough: they learn the rest from their own.
 	const remoteTargets = (): readonly KnownHost[] => {
@@ -113,7 +84,7 @@
 
 	const hallTargets = (): readonly KnownHost[] => {
 		const hosts = inHall();
-		const inTurn = Array.from({length: Math.min(beatenInTurn, hosts.length)}, () => hosts[turn++ % hosts.length]!);
+		const inTurn = Array.from({length: Math.min(hostsBeatenInTurn, hosts.length)}, () => hosts[turn++ % hosts.length]!);
 		return [...new Set([...hosts.filter(({host}) => partners().has(host)), ...inTurn])];
 	};
 
@@ -144,8 +115,6 @@
 		return now - since;
 	};
 
-	const lostAfterMs = (host: string): number => Math.max(leastLostMs, missedBeforeLost * intervalFor(host));
-
 	const isReplaced = (incarnation: string): boolean => {
 		const host = hostOfIncarnation(incarnation);
 		// An earlier life of this very host is over for sure.
@@ -159,7 +128,7 @@
 
 	const isGone = (incarnation: string): boolean => {
 		const host = hostOfIncarnation(incarnation);
-		return incarnation !== self && (isReplaced(incarnation) || silentMs(host) > goneAfterMs(host));
+		return incarnation !== self && (isReplaced(incarnation) || silentMs(host) > limitsFor(host).goneMs);
 	};
 
 	const isLost = (incarnation: string): boolean => {
@@ -168,7 +137,7 @@
 			isReplaced: isReplaced(incarnation),
 			wasHeard: membership.hosts.get(host)?.status !== undefined,
 			silentMs: silentMs(host),
-			lostAfterMs: lostAfterMs(host),
+			lostAfterMs: limitsFor(host).lostMs,
 			isListed: listed?.has(host) ?? true,
 			hearsOthers: inHall().some(known => isLive(known)),
 		});
@@ -206,7 +175,7 @@
 			...inHall().filter(known => isLive(known)).map(known => known.status!.incarnation),
 		],
 		addressesIn: hall => others()
-			.filter(known => known.hall === hall && known.status !== undefined && silenceMs(known) < goneAfterMs(known.host))
+			.filter(known => known.hall === hall && known.status !== undefined && silenceMs(known) < limitsFor(known.host).goneMs)
 			.sort((a, b) => b.heardAt - a.heardAt)
 			.map(known => known.address),
 		leave() {
--- a/packages/daemon/src/lib/operating/start-operators.ts
+++ b/packages/daemon/src/lib/operating/start-operators.ts
@@ -1,9 +1,7 @@
 import {once} from 'node:events';
 import {createHash} from 'node:crypto';
 import Router from '@koa/router';
-import {
-	accountOf, available, emptyLedger, ranStateOf, slotOfBudget,
-} from '@deckwheel/ledger';
+import {ranStateOf, slotOfBudget} from '@deckwheel/ledger';
 import Koa, {type Context as KoaContext, type Next} from 'koa';
 import type {AskSlot} from '../slots/ask-slot.js';
 import type {Context} from '../process/context.js';
@@ -14,6 +12,8 @@
 import type {RouterTask} from '../placing/router-task.js';
 import type {SlotsTask} from '../slots/slots-task.js';
 import type {BundleTask} from './bundle-task.js';
+import {describeBudget} from './describe-budget.js';
+import {describeHost} from './describe-host.js';
 
 /** How long another host may take to answer for an operator, in ms. Chosen without a measurement. */
 const askMs = 3000;
@@ -31,8 +31,8 @@
 
 /** Opens the door for operators: status, budgets, explanations, drain. */
 export const startOperators = async (context: Context, options: Options) => {
-	const {settings, self, clock} = context;
-	const {slots, membership, bundle, router, gateway, askSlot, drain} = options;
+	const {settings, clock} = context;
+	const {bundle, askSlot, drain} = options;
 
 	const authorize = async (ctx: KoaContext, next: Next): Promise<void> => {
 		const token = /^Bearer (?<token>\S+)$/.exec(ctx.get('authorization'))?.groups?.token ?? '';
@@ -49,49 +49,10 @@
 	const routes = new Router();
 	routes.use(authorize);
 	routes.get('/status', ctx => {
-		ctx.body = {
-			host: settings.host,
-			hall: settings.hall,
-			incarnation: self,
-			state: membership.status().state,
-			bundleVersion: bundle.current()?.bundle.version ?? 0,
-			openRequests: gateway.open(),
-			hosts: membership.hosts().map(known => ({
-				host: known.host,
-				hall: known.hall,
-				state: known.status?.state ?? 'never_heard',
-				bundleVersion: known.status?.bundleVersion ?? 0,
-				heardMsAgo: Math.round(clock.monotonic() - known.heardAt),
-			})),
-			slots: slots.pairs().pairs.map((pair, slot) => ({slot, ...pair, role: slots.replica(slot)?.role ?? 'retired'})),
-			endpoints: [...router.table().values()].map(({info, inFlight, report, failures, ejectedUntil}) => ({
-				endpoint: info.id,
-				inFlight,
-				reported: report?.total,
-				failures,
-				isEjected: ejectedUntil > clock.monotonic(),
-				isLeaving: info.isLeaving,
-			})),
-		};
+		ctx.body = describeHost(context, options);
 	});
 	routes.get('/budgets/:budget', ctx => {
-		const {budget} = ctx.params;
-		const slot = slotOfBudget(budget!, settings.slots);
-		const replica = slots.replica(slot);
-		const account = accountOf(replica?.ledger ?? emptyLedger(''), budget!);
-		ctx.body = {
-			hall: settings.hall,
-			slot,
-			role: replica?.role ?? 'retired',
-			primary: slots.pairOf(slot)?.primary,
-			holder: replica?.ledger.holder,
-			granted: account.granted,
-			reserved: account.reserved,
-			settled: account.settled,
-			billed: account.billed,
-			wasted: account.wasted,
-			available: available(account),
-		};
+		ctx.body = describeBudget(ctx.params.budget!, context, options);
 	});
 	routes.get('/requests/:budget/:key', async ctx => {
 		const {budget, key} = ctx.params;
--- a/packages/daemon/src/lib/running/start-recovery.ts
+++ b/packages/daemon/src/lib/running/start-recovery.ts
@@ -6,6 +6,7 @@
 import {repeat} from '../process/repeat.js';
 import type {RouterTask} from '../placing/router-task.js';
 import type {SlotsTask} from '../slots/slots-task.js';
+import {isOrphanedRun} from './is-orphaned-run.js';
 import {readEngineStream} from './read-engine-stream.js';
 import {streamId} from './stream-id.js';
 
@@ -30,17 +31,11 @@
 	const {settings, clock, log, metrics} = context;
 	const underWay = new Set<string>();
 
-	// Past the request's deadline nobody waits for the runner any more, whatever became of it.
-	const isOrphaned = (claim: Claim, run: Run): boolean => {
-		const isOpen = run.state === 'running' || run.state === 'lost';
-		const canStillBeSent = clock.wall() <= run.sendBy + settings.clockSkewMs;
-		const isPastDeadline = clock.wall() > claim.keepUntil - keepMs() + settings.clockSkewMs;
-		return isOpen && !canStillBeSent && (run.state === 'lost' || isPastDeadline || membership.isGone(run.runner));
-	};
-
 	const orphansOf = (slot: number, ledger: Ledger): readonly Orphan[] =>
 		[...ledger.claims.values()].flatMap(claim =>
-			claim.runs.filter(run => isOrphaned(claim, run)).map(run => ({slot, claim, run})));
+			claim.runs.filter(run => isOrphanedRun(run, {
+				now: clock.wall(), deadline: claim.keepUntil - keepMs(), clockSkewMs: settings.clockSkewMs, isRunnerGone: membership.isGone(run.runner),
+			})).map(run => ({slot, claim, run})));
 
 	const recover = async ({slot, claim, run}: Orphan): Promise<void> => {
 		const {budget, key} = claim;
