--- a/packages/daemon/src/lib/gateway/create-chat-work.ts
+++ b/packages/daemon/src/lib/gateway/create-chat-work.ts
@@ -5,9 +5,9 @@
 import type {LiveStream} from '../running/live-stream.js';
 import type {RunJob} from '../running/run-job.js';
 import {toCompletion} from './to-completion.js';
-import {badRequest} from './bad-request.js';
+import {badRequest} from './reading/bad-request.js';
 import {gatewayRefusals} from './gateway-refusals.js';
-import {readChat} from './read-chat.js';
+import {readChat} from './reading/read-chat.js';
 import {relayLiveStream} from './relay-live-stream.js';
 import type {Work} from './work.js';
 
--- a/packages/daemon/src/lib/gateway/read-key.ts
+++ b/packages/daemon/src/lib/gateway/reading/read-key.ts
@@ -1,5 +1,5 @@
 import {rankByRendezvous} from '@deckwheel/core';
-import type {RequestKey} from './request-key.js';
+import type {RequestKey} from '../request-key.js';
 
 const issuedPattern = /^dw~(?<hall>[a-z\d.-]+)~(?<time>[\da-z]{6,10})~[\da-f]{24}$/;
 const uuid7Pattern = /^(?<high>[\da-f]{8})-(?<low>[\da-f]{4})-7[\da-f]{3}-[89ab][\da-f]{3}-[\da-f]{12}$/i;
--- a/packages/daemon/src/lib/gateway/read-request-options.ts
+++ b/packages/daemon/src/lib/gateway/reading/read-request-options.ts
@@ -3,10 +3,10 @@
 	fail, succeed, type Clock, type Outcome, type Refusal,
 } from '@deckwheel/core';
 import type {Priority} from '@deckwheel/routing';
-import type {Caller} from './caller.js';
-import {issueKey} from './issue-key.js';
+import type {Caller} from '../caller.js';
+import {issueKey} from '../issue-key.js';
+import type {RequestKey} from '../request-key.js';
 import {readKey} from './read-key.js';
-import type {RequestKey} from './request-key.js';
 import type {RequestOptions} from './request-options.js';
 
 const keyPattern = /^[\w.:~+/=-]{1,200}$/;
--- a/packages/daemon/src/lib/gateway/request-options.ts
+++ b/packages/daemon/src/lib/gateway/reading/request-options.ts
@@ -1,5 +1,5 @@
 import type {Priority} from '@deckwheel/routing';
-import type {RequestKey} from './request-key.js';
+import type {RequestKey} from '../request-key.js';
 
 /** What a caller's headers say of a request. */
 export type RequestOptions = {
--- a/packages/daemon/src/lib/gateway/start-gateway.ts
+++ b/packages/daemon/src/lib/gateway/start-gateway.ts
@@ -17,8 +17,8 @@
 import type {Work} from './work.js';
 import type {Gateway} from './gateway.js';
 import {issueKey} from './issue-key.js';
-import {readTextBody} from './read-text-body.js';
-import {readRequestOptions} from './read-request-options.js';
+import {readTextBody} from './reading/read-text-body.js';
+import {readRequestOptions} from './reading/read-request-options.js';
 import {statusOfRefusal} from './status-of-refusal.js';
 
 type Options = {
--- a/packages/daemon/src/lib/gateway/visit.ts
+++ b/packages/daemon/src/lib/gateway/visit.ts
@@ -1,6 +1,6 @@
 import type {AdoptedBundle} from '@deckwheel/bundle';
 import type {Caller} from './caller.js';
-import type {RequestOptions} from './request-options.js';
+import type {RequestOptions} from './reading/request-options.js';
 
 /** A request that was let in. */
 export type Visit = {
--- a/packages/daemon/src/lib/operating/start-operators.ts
+++ b/packages/daemon/src/lib/operating/start-operators.ts
@@ -8,7 +8,7 @@
 import type {Gateway} from '../gateway/gateway.js';
 import {serveApp} from '../process/serve-app.js';
 import type {MembershipTask} from '../membership/membership-task.js';
-import {readKey} from '../gateway/read-key.js';
+import {readKey} from '../gateway/reading/read-key.js';
 import type {RouterTask} from '../placing/router-task.js';
 import type {SlotsTask} from '../slots/slots-task.js';
 import type {BundleTask} from './bundle-task.js';
--- a/packages/daemon/src/lib/running/service-job.ts
+++ b/packages/daemon/src/lib/running/service-job.ts
@@ -2,7 +2,7 @@
 import got, {type Method} from 'got';
 import type {Caller} from '../gateway/caller.js';
 import {fingerprint} from '../gateway/fingerprint.js';
-import type {RequestOptions} from '../gateway/request-options.js';
+import type {RequestOptions} from '../gateway/reading/request-options.js';
 import type {ServiceCall} from '../gateway/service-call.js';
 import {traceHeaders} from '../process/trace-headers.js';
 import {isNeverSent} from './is-never-sent.js';
--- a/packages/entry/src/lib/host/start-peer-tasks.ts
+++ b/packages/entry/src/lib/host/start-peer-tasks.ts
@@ -64,7 +64,9 @@
 	});
 	return {
 		rights,
-		storeChanges: createStoreChanges({holder, board, links: () => links}),
+		storeChanges: createStoreChanges({
+			holder, board, links: () => links, log,
+		}),
 		async close() {
 			rights.close();
 			await links.close();
--- a/packages/entry/src/lib/rights/start-rights-balance.ts
+++ b/packages/entry/src/lib/rights/start-rights-balance.ts
@@ -6,7 +6,7 @@
 import type {SlotWriter} from '../rights-store/slot-writer.js';
 import type {StoreState} from '../rights-store/store-state.js';
 import {viewRights} from '../rights-store/view-rights.js';
-import {viewTrustMs} from '../rights-store/view-trust-ms.js';
+import {trustedView} from '../rights-store/trusted-view.js';
 import type {RightsBalance} from './rights-balance.js';
 import {mayDraw} from './may-draw.js';
 import {planRights} from './plan-rights.js';
@@ -38,13 +38,17 @@
 	readonly now: () => number;
 };
 
-/** Starts the task that keeps this host's rights near what its demand asks for. */
+/**
+Starts the task that keeps this host's rights near what its demand asks for: looks at each budget at a steady pace, and does
+what `planRights` and `planBorrowing` decide. It owns when each slot was written last.
+*/
 export const startRightsBalance = ({holder, accounts, allocators, borrower, writer, state, holdAhead, budgets, isSettled, isRetiring, log, now}: Options): RightsBalance => {
 	const writtenAt = new Map<number, number>();
 
 	const planBudget = (budget: string): 'keep' | 'write' => {
 		const rights = writer.rightsOf(budget);
 		const account = accounts.of(budget);
+		// Nothing was read yet. A write reads first; a host that holds rights and has no demand can wait for its next one.
 		if (!rights) {
 			return account.rate > 0 || account.granted === 0 ? 'write' : 'keep';
 		}
@@ -56,8 +60,7 @@
 			holders: holdersOf(rights, holder),
 			isOverGranted: unallocated(rights) < 0,
 			isStoreUp: state.isUp(),
-			// An old view may say that nothing is left where others have given back since.
-			store: writer.ageOf(budget) > viewTrustMs ? {...view, unallocated: Math.max(1, view.unallocated)} : view,
+			store: trustedView(view, writer.ageOf(budget)),
 		});
 		if (plan.type === 'give_back') {
 			// Rights leave this host before the store hears of it.
--- a/packages/entry/src/lib/store-changes/create-store-changes.ts
+++ b/packages/entry/src/lib/store-changes/create-store-changes.ts
@@ -1,4 +1,5 @@
 import {rankByRendezvous} from '@deckwheel/core';
+import type {Log} from '../../adapter/log.js';
 import type {ListedPeer} from '../../adapter/listed-peer.js';
 import type {StoreChanges} from '../../adapter/store-changes.js';
 import type {PeerLinks} from '../peers/peer-links.js';
@@ -14,11 +15,12 @@
 	/** The name of this life of the host. */
 	readonly holder: string;
 	readonly board: ChangeBoard;
+	readonly log: Log;
 	readonly links: () => Pick<PeerLinks, 'mesh' | 'hallPeers' | 'hallSize' | 'suspect'>;
 };
 
 /** Creates the asking side of change notifications: knows who follows a topic for the hall, and asks it. */
-export const createStoreChanges = ({holder, board, links}: Options): StoreChanges => {
+export const createStoreChanges = ({holder, board, links, log}: Options): StoreChanges => {
 	/** The peer that follows a topic for this hall; `undefined` where this host does, or each does. */
 	const followerOf = (topic: string): ListedPeer | undefined => {
 		if (links().hallSize() <= smallHall) {
@@ -49,10 +51,16 @@
 			}, holdMs + slackMs);
 			if (!reply.ok) {
 				links().suspect(follower.address);
+				return {type: 'unknown'};
+			}
+
+			const changes = changeReplySchema.safeParse(reply.value);
+			if (!changes.success) {
+				log('peer_reply_malformed', {address: follower.address, type: 'news'});
+				return {type: 'unknown'};
 			}
 
-			const changes = changeReplySchema.safeParse(reply.ok ? reply.value : undefined);
-			return changes.success ? judgeChangeReply(changes.data, after, freshMs) : {type: 'unknown'};
+			return judgeChangeReply(changes.data, after, freshMs);
 		},
 	};
 };
--- a/packages/entry/src/test/create-store-changes.test.ts
+++ b/packages/entry/src/test/create-store-changes.test.ts
@@ -13,6 +13,7 @@
 	const changes = createStoreChanges({
 		holder,
 		board: createChangeBoard(() => 0),
+		log: () => undefined,
 		links: () => ({
 			mesh: () => ({
 				port: 0,
