--- a/packages/cli/src/lib/ask-host.ts
+++ b/packages/cli/src/lib/ask-host.ts
@@ -7,7 +7,7 @@
 
 type ErrorBody = {readonly error?: {readonly message?: string}};
 
-/** Asks a host's door for operators. The error is one line for the operator to read. */
+/** Asks a host over its operators' interface. The error is one line for the operator to read. */
 export const askHost = async <T>(host: string, path: string, method: 'GET' | 'POST' = 'GET'): Promise<Outcome<T, string>> => {
 	try {
 		const response = await got(`${host}${path}`, {
--- a/packages/cli/src/lib/status-view.ts
+++ b/packages/cli/src/lib/status-view.ts
@@ -1,4 +1,4 @@
-/** What a host's door for operators says of it and the hosts it knows. */
+/** What a host's operators' interface says of it and the hosts it knows. */
 export type StatusView = {
 	readonly host: string;
 	readonly hall: string;
--- a/packages/daemon/src/lib/gateway/gateway.ts
+++ b/packages/daemon/src/lib/gateway/gateway.ts
@@ -1,4 +1,4 @@
-/** The door for callers. */
+/** The HTTP server for callers. */
 export type Gateway = {
 	readonly port: number;
 	/** Requests that are open. */
--- a/packages/daemon/src/lib/gateway/start-gateway.ts
+++ b/packages/daemon/src/lib/gateway/start-gateway.ts
@@ -28,7 +28,7 @@
 	readonly homes: (budget: string) => readonly string[];
 };
 
-/** Opens the door for callers: chat completions, plain services, and issued keys. */
+/** Serves callers: chat completions, plain services, and issued keys. */
 export const startGateway = async (context: Context, {bundle, runJob, homes}: Options): Promise<Gateway> => {
 	const {settings, clock, log, metrics, tracing} = context;
 	const openRequests = createOpenRequests();
--- a/packages/daemon/src/lib/operating/start-operators.ts
+++ b/packages/daemon/src/lib/operating/start-operators.ts
@@ -29,7 +29,7 @@
 	readonly drain: () => void;
 };
 
-/** Opens the door for operators: status, budgets, explanations, drain. */
+/** Serves operators: status, budgets, explanations, drain. */
 export const startOperators = async (context: Context, options: Options) => {
 	const {settings, clock} = context;
 	const {bundle, askSlot, drain} = options;
--- a/packages/entry/src/lib/hall-health/probe-address.ts
+++ b/packages/entry/src/lib/hall-health/probe-address.ts
@@ -11,7 +11,7 @@
 	};
 
 	const timer = setTimeout(() => {
-		// A connection that came while this process was busy elsewhere is told before this.
+		// A connection that came while this process was busy elsewhere is reported before this.
 		setImmediate(end, false);
 	}, timeoutMs);
 	socket.on('connect', () => {
--- a/packages/entry/src/lib/peers/start-peer-links.ts
+++ b/packages/entry/src/lib/peers/start-peer-links.ts
@@ -72,7 +72,7 @@
 		}
 	};
 
-	// A host listens before it is listed, so that peers never find it deaf.
+	// A host listens before it is listed, so that no peer finds it listed and not listening.
 	const listen = async (secret: string): Promise<void> => {
 		const {host, port} = splitAddress(self.address);
 		mesh = await openMesh({
--- a/packages/entry/src/lib/sending/send-attempt.ts
+++ b/packages/entry/src/lib/sending/send-attempt.ts
@@ -35,7 +35,7 @@
 		signal,
 	});
 	const connectTimer = setTimeout(() => {
-		// A connection that came while this process was busy elsewhere is told before this.
+		// A connection that came while this process was busy elsewhere is reported before this.
 		setImmediate(() => {
 			if (!isConnected) {
 				onConnect(performance.now() - sentAt);
--- a/packages/lab/src/lib/budget-view.ts
+++ b/packages/lab/src/lib/budget-view.ts
@@ -1,4 +1,4 @@
-/** What a host's door for operators says of a budget. */
+/** What a host's operators' interface says of a budget. */
 export type BudgetView = {
 	readonly role: string;
 	readonly primary?: string;
--- a/packages/lab/src/lib/entry-process.ts
+++ b/packages/lab/src/lib/entry-process.ts
@@ -5,7 +5,7 @@
 	readonly host: string;
 	readonly hall: string;
 	readonly child: ChildProcess;
-	/** `http://ip:port` of the door for callers. */
+	/** `http://ip:port` of the HTTP server for callers. */
 	readonly callers: string;
 	readonly operators: string;
 	/** `ip:port` for peers. */
--- a/packages/lab/src/lib/fleet-options.ts
+++ b/packages/lab/src/lib/fleet-options.ts
@@ -12,6 +12,6 @@
 	/** Changes to each daemon's settings. */
 	readonly settings?: Record<string, unknown>;
 	readonly limits?: Record<string, unknown>;
-	/** Puts a relay in front of each host's door for peers, so that halls can be cut off. Meant for one host a hall. */
+	/** Puts a relay in front of each host's address for peers, so that halls can be cut off. Meant for one host a hall. */
 	readonly hasRelays?: boolean;
 };
--- a/packages/lab/src/lib/fleet.ts
+++ b/packages/lab/src/lib/fleet.ts
@@ -27,7 +27,7 @@
 	readonly listHosts: (entries: readonly EntryProcess[]) => Promise<void>;
 	/** Cuts all hosts off from their peers, or joins them again. */
 	readonly setLinks: (mode: 'pass' | 'refuse' | 'stall') => void;
-	/** Sets faults of a stand-in over its control door. */
+	/** Sets faults of a stand-in over its control interface. */
 	readonly setFaults: (standIn: RunningStandIn, faults: Record<string, unknown>) => Promise<void>;
 	/** Resolves when every host has the bundle and every slot has its pair. */
 	readonly settled: (entries: readonly EntryProcess[]) => Promise<void>;
--- a/packages/lab/src/lib/host-view.ts
+++ b/packages/lab/src/lib/host-view.ts
@@ -1,4 +1,4 @@
-/** What a host's door for operators says of it, as far as the lab reads it. */
+/** What a host's operators' interface says of it, as far as the lab reads it. */
 export type HostView = {
 	readonly host: string;
 	readonly hall: string;
--- a/packages/lab/src/slopes.ts
+++ b/packages/lab/src/slopes.ts
@@ -12,7 +12,7 @@
 
 const packr = new Packr({useRecords: false});
 
-/** Rounds of each measurement; the median is told. */
+/** Rounds of each measurement; the median is shown. */
 const rounds = 5;
 
 /** Characters of a kept answer: some 450 tokens. */
--- a/packages/stand-ins/src/lib/engine-faults.ts
+++ b/packages/stand-ins/src/lib/engine-faults.ts
@@ -1,4 +1,4 @@
-/** The faults and the pace of the stand-in engine, set over its control door. */
+/** The faults and the pace of the stand-in engine, set over its control interface. */
 export type EngineFaults = {
 	/** Connections are cut without an answer. */
 	readonly isDown: boolean;
--- a/packages/stand-ins/src/lib/store-faults.ts
+++ b/packages/stand-ins/src/lib/store-faults.ts
@@ -1,4 +1,4 @@
-/** The faults of the stand-in store, set over its control door. */
+/** The faults of the stand-in store, set over its control interface. */
 export type StoreFaults = {
 	/** Connections are cut without an answer. */
 	readonly isDown: boolean;
