--- a/packages/entry/src/config/organisation.ts
+++ b/packages/entry/src/config/organisation.ts
@@ -3,6 +3,6 @@
 	readonly name: string;
 	/** Prepaid tokens: everything ever paid in. `undefined` where nothing is counted. */
 	readonly limit: number | undefined;
-	/** 0 is the most urgent; comes before the route's. */
+	/** 0 is the most urgent; comes before the route's. No rule uses it yet (docs/open-points.md). */
 	readonly priority: number | undefined;
 };
--- a/packages/entry/src/config/route.ts
+++ b/packages/entry/src/config/route.ts
@@ -14,7 +14,7 @@
 	readonly timeoutMs: number;
 	/** The time within which the first byte should reach the caller, in ms. */
 	readonly goalMs: number;
-	/** 0 is the most urgent. */
+	/** 0 is the most urgent. No rule uses it yet (docs/open-points.md). */
 	readonly priority: number;
 	/** The most endpoints that one request may be sent to. */
 	readonly maxAttempts: number;
--- a/packages/entry/src/config/service.ts
+++ b/packages/entry/src/config/service.ts
@@ -1,7 +1,7 @@
 /** What the configuration says of a group of equal endpoints. */
 export type Service = {
 	readonly name: string;
-	/** Connections that one endpoint accepts, from all hosts together. */
+	/** Connections that one endpoint accepts, from all hosts together. No rule uses it yet: pools stay far below it (docs/open-points.md). */
 	readonly maxConnections: number;
 	/** The most tokens that one event of a stream may hold; 0 where the service is no model engine. */
 	readonly tokensPerEvent: number;
