--- a/packages/daemon/src/lib/gateway/start-gateway.ts
+++ b/packages/daemon/src/lib/gateway/start-gateway.ts
@@ -7,18 +7,18 @@
 import type {Context} from '../process/context.js';
 import {serveApp} from '../process/serve-app.js';
 import type {RunJob} from '../running/run-job.js';
+import {admitVisit} from './admit-visit.js';
 import {findCaller} from './find-caller.js';
 import {beforeRecall} from './before-recall.js';
 import {createChatWork} from './create-chat-work.js';
 import {createOpenRequests} from './create-open-requests.js';
 import {createServiceWork} from './create-service-work.js';
 import {gatewayRefusals} from './gateway-refusals.js';
+import {mayChangeHome} from './may-change-home.js';
 import type {Visit} from './visit.js';
 import type {Work} from './work.js';
 import type {Gateway} from './gateway.js';
 import {issueKey} from './issue-key.js';
-import {readTextBody} from './reading/read-text-body.js';
-import {readRequestOptions} from './reading/read-request-options.js';
 import {statusOfRefusal} from './status-of-refusal.js';
 
 type Options = {
@@ -44,46 +44,12 @@
 		metrics.count('request.refused', {code: refusal.code});
 	};
 
-	const admit = async (ctx: KoaContext): Promise<Visit | Refusal> => {
-		const adopted = bundle();
-		if (!adopted) {
-			return gatewayRefusals.notReady;
-		}
-
-		const caller = findCaller(adopted, ctx.get('authorization'));
-		if (!caller) {
-			return gatewayRefusals.unauthorized;
-		}
-
-		const options = readRequestOptions({
-			header: name => ctx.get(name), bundle: adopted.bundle, home: homes(caller.budget)[0]!, caller, clock,
-		});
-		if (!options.ok) {
-			return options.error;
-		}
-
-		const body = await readTextBody(ctx, adopted.bundle.limits.maxBodyBytes);
-		return body.ok
-			? {
-				adopted, caller, options: options.value, body: body.value,
-			}
-			: body.error;
-	};
-
-	// A key that was issued just now is nobody's yet. If the hall that should claim it cannot, and
-	// nothing was sent, a key of another hall serves as well. After a run whose outcome is unknown
-	// it would not: the request could be run, and billed, under both keys.
 	const workAtSomeHome = async (ctx: KoaContext, visit: Visit, work: Work): Promise<Refusal | undefined> => {
 		const {caller, options} = visit;
 		ctx.set('X-Request-Key', options.key.text);
 		const first = await work(ctx, visit);
-		const isUntouched = first?.code === 'claim_unavailable' && first.ran === 'not_run';
-		if (!isUntouched || options.isKeyPresented) {
-			return first;
-		}
-
 		const other = homes(caller.budget).find(hall => hall !== options.key.home);
-		if (other === undefined) {
+		if (other === undefined || !mayChangeHome(first, options.isKeyPresented)) {
 			return first;
 		}
 
@@ -97,7 +63,7 @@
 		const parent = propagation.extract(traceContext.active(), ctx.headers);
 		await tracing.tracer.startActiveSpan('request', {}, parent, async span => {
 			const startedAt = clock.monotonic();
-			const visit = await admit(ctx);
+			const visit = await admitVisit(ctx, {adopted: bundle(), homes, clock});
 			const isAdmitted = 'caller' in visit;
 			const refusal = isAdmitted ? await workAtSomeHome(ctx, visit, work) : beforeRecall(ctx, visit);
 			if (refusal && !ctx.res.headersSent) {
