--- a/packages/daemon/src/lib/gateway/start-gateway.ts
+++ b/packages/daemon/src/lib/gateway/start-gateway.ts
@@ -2,7 +2,7 @@
 import {context as traceContext, propagation, SpanStatusCode} from '@opentelemetry/api';
 import Router from '@koa/router';
 import type {AdoptedBundle} from '@deckwheel/bundle';
-import {type Refusal, refusalBody} from '@deckwheel/core';
+import {type Refusal, refusalBody, httpStatus} from '@deckwheel/core';
 import Koa, {type Context as KoaContext, type Next} from 'koa';
 import type {Context} from '../process/context.js';
 import {serveApp} from '../process/serve-app.js';
@@ -108,7 +108,7 @@
 	const router = new Router();
 	router.get('/healthz', ctx => {
 		const isReady = bundle() !== undefined && !isDraining;
-		ctx.status = isReady ? 200 : 503;
+		ctx.status = isReady ? httpStatus.ok : httpStatus.serviceUnavailable;
 		ctx.body = {ready: isReady};
 	});
 	router.post('/v1/chat/completions', countOpen, handle(createChatWork(runJob)));
--- a/packages/daemon/src/lib/operating/start-operators.ts
+++ b/packages/daemon/src/lib/operating/start-operators.ts
@@ -1,5 +1,6 @@
 import {once} from 'node:events';
 import {createHash} from 'node:crypto';
+import {httpStatus} from '@deckwheel/core';
 import Router from '@koa/router';
 import {ranStateOf, slotOfBudget} from '@deckwheel/ledger';
 import Koa, {type Context as KoaContext, type Next} from 'koa';
@@ -38,7 +39,7 @@
 		const token = /^Bearer (?<token>\S+)$/.exec(ctx.get('authorization'))?.groups?.token ?? '';
 		const sha256 = createHash('sha256').update(token).digest('hex');
 		if (!settings.operators.some(operator => operator.sha256 === sha256)) {
-			ctx.status = 401;
+			ctx.status = httpStatus.unauthorized;
 			ctx.body = {error: {code: 'unauthorized', message: 'Send an operator\'s token that the settings of this host know.'}};
 			return;
 		}
@@ -61,14 +62,14 @@
 		const slot = slotOfBudget(budget!, settings.slots);
 		const reply = parsed && await askSlot(parsed.home, slot, {type: 'lookup', budget: budget!, key: key!}, clock.monotonic() + askMs);
 		if (!reply?.ok || reply.value.type !== 'found') {
-			ctx.status = 503;
+			ctx.status = httpStatus.serviceUnavailable;
 			ctx.body = {error: {code: 'claim_unavailable', message: 'The hall that keeps the record of this key cannot be reached now.'}};
 			return;
 		}
 
 		const {claim} = reply.value;
 		if (!claim) {
-			ctx.status = 404;
+			ctx.status = httpStatus.notFound;
 			ctx.body = {error: {code: 'not_found', message: 'There is no record of this key under this budget.'}};
 			return;
 		}
--- a/packages/daemon/src/lib/running/chat-job.ts
+++ b/packages/daemon/src/lib/running/chat-job.ts
@@ -1,6 +1,6 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import type {Bundle} from '@deckwheel/bundle';
-import {prefixBlocks} from '@deckwheel/core';
+import {prefixBlocks, httpStatus} from '@deckwheel/core';
 import type {Answer, Run} from '@deckwheel/ledger';
 import type {Caller} from '../gateway/caller.js';
 import type {ChatRequest} from '../gateway/reading/chat-request.js';
@@ -48,7 +48,7 @@
 		stream.push(event);
 	};
 
-	const answer = (): Answer => ({status: 200, contentType: streamContentType, body: stream.events.join('')});
+	const answer = (): Answer => ({status: httpStatus.ok, contentType: streamContentType, body: stream.events.join('')});
 
 	const toRunEnd = (end: EngineEnd): RunEnd => {
 		switch (end.type) {
--- a/packages/daemon/src/lib/running/read-engine-stream.ts
+++ b/packages/daemon/src/lib/running/read-engine-stream.ts
@@ -1,4 +1,5 @@
 import type {IncomingMessage} from 'node:http';
+import {httpStatus} from '@deckwheel/core';
 import {createParser, type EventSourceMessage} from 'eventsource-parser';
 import got from 'got';
 import {z} from 'zod';
@@ -49,7 +50,7 @@
 		return {type: 'not_run'};
 	}
 
-	return response.statusCode === 404 ? {type: 'no_such_stream'} : {type: 'lost'};
+	return response.statusCode === httpStatus.notFound ? {type: 'no_such_stream'} : {type: 'lost'};
 };
 
 /** Calls an engine and passes its events on until its stream ends. Never throws. */
--- a/packages/daemon/src/lib/running/start-recovery.ts
+++ b/packages/daemon/src/lib/running/start-recovery.ts
@@ -1,3 +1,4 @@
+import {httpStatus} from '@deckwheel/core';
 import {
 	claimId, type Claim, type Ledger, type Run,
 } from '@deckwheel/ledger';
@@ -55,7 +56,7 @@
 			type: 'settle' as const, budget, key, run: run.number, final: true,
 		};
 		if (end.type === 'finished') {
-			const answer = {status: 200, contentType: 'text/event-stream', body: events.join('')};
+			const answer = {status: httpStatus.ok, contentType: 'text/event-stream', body: events.join('')};
 			await slots.submit(slot, {
 				...settled, outcome: 'finished', served: end.served, answer,
 			});
