--- a/packages/daemon/src/lib/gateway/create-chat-work.ts
+++ b/packages/daemon/src/lib/gateway/create-chat-work.ts
@@ -1,8 +1,8 @@
 import type {Refusal} from '@deckwheel/core';
 import {chatJob} from '../running/chat-job.js';
-import {createLiveStream} from '../running/create-live-stream.js';
+import {createLiveStream} from '../running/streams/create-live-stream.js';
 import type {Job} from '../running/job.js';
-import type {LiveStream} from '../running/live-stream.js';
+import type {LiveStream} from '../running/streams/live-stream.js';
 import type {RunJob} from '../running/run-job.js';
 import {toCompletion} from './to-completion.js';
 import {badRequest} from './reading/bad-request.js';
--- a/packages/daemon/src/lib/gateway/relay-live-stream.ts
+++ b/packages/daemon/src/lib/gateway/relay-live-stream.ts
@@ -1,7 +1,7 @@
 import {once} from 'node:events';
 import {type Refusal, refusalBody} from '@deckwheel/core';
 import type {Context as KoaContext} from 'koa';
-import type {LiveStream} from '../running/live-stream.js';
+import type {LiveStream} from '../running/streams/live-stream.js';
 
 const eventNumber = (event: string): number => Number(/^id: (?<id>\d+)$/m.exec(event)?.groups?.id ?? Infinity);
 
--- a/packages/daemon/src/lib/running/chat-job.ts
+++ b/packages/daemon/src/lib/running/chat-job.ts
@@ -8,12 +8,12 @@
 import {promptBound} from '../gateway/reading/prompt-bound.js';
 import type {RequestOptions} from '../gateway/reading/request-options.js';
 import {traceHeaders} from '../process/trace-headers.js';
-import type {EngineEnd} from './engine-end.js';
+import type {EngineEnd} from './streams/engine-end.js';
 import type {Job} from './job.js';
-import type {LiveStream} from './live-stream.js';
-import {readEngineStream} from './read-engine-stream.js';
+import type {LiveStream} from './streams/live-stream.js';
+import {readEngineStream} from './streams/read-engine-stream.js';
 import type {RunEnd} from './run-end.js';
-import {streamId} from './stream-id.js';
+import {streamId} from './streams/stream-id.js';
 
 /** Tokens of an answer where the caller and the model set no bound. Chosen without a measurement. */
 const defaultMaxTokens = 1024;
--- a/packages/daemon/src/lib/running/service-job.ts
+++ b/packages/daemon/src/lib/running/service-job.ts
@@ -8,7 +8,7 @@
 import {isNeverSent} from './is-never-sent.js';
 import type {Job} from './job.js';
 import type {RunEnd} from './run-end.js';
-import {streamId} from './stream-id.js';
+import {streamId} from './streams/stream-id.js';
 
 /** A service that takes longer to accept a connection did not get the request, in ms. Chosen without a measurement. */
 const connectMs = 1000;
--- a/packages/daemon/src/lib/running/start-recovery.ts
+++ b/packages/daemon/src/lib/running/start-recovery.ts
@@ -8,8 +8,8 @@
 import type {RouterTask} from '../placing/router-task.js';
 import type {SlotsTask} from '../slots/slots-task.js';
 import {isOrphanedRun} from './is-orphaned-run.js';
-import {readEngineStream} from './read-engine-stream.js';
-import {streamId} from './stream-id.js';
+import {readEngineStream} from './streams/read-engine-stream.js';
+import {streamId} from './streams/stream-id.js';
 
 /** How often runs without a runner are looked for, in ms. Chosen without a measurement. */
 const everyMs = 1000;
--- a/packages/daemon/src/lib/running/read-engine-stream.ts
+++ b/packages/daemon/src/lib/running/streams/read-engine-stream.ts
@@ -3,8 +3,8 @@
 import {createParser, type EventSourceMessage} from 'eventsource-parser';
 import got from 'got';
 import {z} from 'zod';
+import {isNeverSent} from '../is-never-sent.js';
 import type {EngineEnd} from './engine-end.js';
-import {isNeverSent} from './is-never-sent.js';
 
 /** An engine that sends nothing for this long counts as lost, in ms. */
 const silenceMs = 30_000;
