--- a/packages/daemon/src/lib/membership/silence-limits.ts
+++ b/packages/daemon/src/lib/membership/silence-limits.ts
@@ -1,5 +1,3 @@
-import {hostsBeatenInTurn} from './hosts-beaten-in-turn.js';
-
 /** Heartbeats missed before a host counts as gone. Chosen without a measurement. */
 const missedBeforeGone = 5;
 
@@ -15,15 +13,6 @@
 /** Nor for lost before this one, in ms. Chosen without a measurement. */
 const leastLostMs = 5000;
 
-type Inputs = {
-	/** Between two heartbeats, in ms. */
-	readonly heartbeatMs: number;
-	/** Hosts of the own hall, without this one. */
-	readonly hostsInHall: number;
-	/** Whether the host shares a pair with this one. */
-	readonly isPartner: boolean;
-};
-
 /** After how much silence a host is judged, in ms. */
 type Limits = {
 	/** It is no longer counted as live. */
@@ -34,13 +23,13 @@
 	readonly lostMs: number;
 };
 
-/** Decides how long a host may be silent. Partners hear of each other at every beat, all others once a rotation. Pure. */
-export const silenceLimits = ({heartbeatMs, hostsInHall, isPartner}: Inputs): Limits => {
-	const rotationMs = heartbeatMs * Math.max(1, Math.ceil(hostsInHall / hostsBeatenInTurn));
-	const intervalMs = isPartner ? heartbeatMs : rotationMs;
-	return {
-		doubtMs: Math.max(leastSilenceMs, missedBeforeDoubt * intervalMs),
-		goneMs: Math.max(leastSilenceMs, missedBeforeGone * intervalMs),
-		lostMs: Math.max(leastLostMs, missedBeforeLost * intervalMs),
-	};
-};
+/**
+Decides how long a host may be silent. Pure.
+
+@param intervalMs Between two heartbeats with that host.
+*/
+export const silenceLimits = (intervalMs: number): Limits => ({
+	doubtMs: Math.max(leastSilenceMs, missedBeforeDoubt * intervalMs),
+	goneMs: Math.max(leastSilenceMs, missedBeforeGone * intervalMs),
+	lostMs: Math.max(leastLostMs, missedBeforeLost * intervalMs),
+});
--- a/packages/daemon/src/lib/membership/start-membership.ts
+++ b/packages/daemon/src/lib/membership/start-membership.ts
@@ -1,7 +1,6 @@
 import type {Mesh} from '@deckwheel/mesh';
 import type {Context} from '../process/context.js';
 import {repeat} from '../process/repeat.js';
-import {hostsBeatenInTurn} from './hosts-beaten-in-turn.js';
 import {heartbeatReplySchema} from './heartbeat-reply-schema.js';
 import {isBelievedLost} from './is-believed-lost.js';
 import {hostOfIncarnation} from './host-of-incarnation.js';
@@ -13,6 +12,12 @@
 import {silenceLimits} from './silence-limits.js';
 import {stepMembership} from './step-membership.js';
 
+/**
+Hosts of the hall that get a heartbeat each time, in turn, besides the partners in pairs: so the cost does not grow with the
+hall. Chosen without a measurement of its own.
+*/
+const hostsBeatenInTurn = 8;
+
 /** How often the list of hosts is read, in ms, by the readers of the turn. Chosen without a measurement. */
 const listEveryMs = 3000;
 
@@ -60,9 +65,11 @@
 
 	const others = (): readonly KnownHost[] => [...membership.hosts.values()].filter(({host}) => host !== settings.host);
 	const inHall = (): readonly KnownHost[] => others().filter(({hall}) => hall === settings.hall);
-	const limitsFor = (host: string) => silenceLimits({
-		heartbeatMs: settings.heartbeatMs, hostsInHall: inHall().length, isPartner: partners().has(host),
-	});
+	const rotationMs = (): number => settings.heartbeatMs * Math.max(1, Math.ceil(inHall().length / hostsBeatenInTurn));
+
+	// Partners hear of each other at every beat, all others once a rotation. The hall is counted for these only: planning asks
+	// for partners all the time.
+	const limitsFor = (host: string) => silenceLimits(partners().has(host) ? settings.heartbeatMs : rotationMs());
 	const silenceMs = ({heardAt}: KnownHost): number => clock.monotonic() - heardAt;
 
 	const status = (): HostStatus => ({
