--- a/packages/entry/src/lib/request/create-request-log.ts
+++ b/packages/entry/src/lib/request/create-request-log.ts
@@ -1,16 +1,7 @@
 import type {ServerResponse} from 'node:http';
 import {answerRefusal} from '../admission/answer-refusal.js';
-import type {HostRefusal} from '../admission/host-refusal.js';
 import type {HostServices} from './host-services.js';
-
-type Fields = Readonly<Record<string, string | number | undefined>>;
-
-/** Logs the end of one request, and answers it where the host refuses. */
-type RequestLog = {
-	readonly refused: (refusal: HostRefusal, fields?: Fields) => void;
-	readonly answered: (status: number | undefined, fields: Fields) => void;
-	readonly left: (fields: Fields) => void;
-};
+import type {RequestLog} from './request-log.js';
 
 type Options = {
 	readonly id: string;
--- a/packages/entry/src/lib/request/serve-request.ts
+++ b/packages/entry/src/lib/request/serve-request.ts
@@ -1,6 +1,5 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {admitRequest} from '../admission/admit-request.js';
-import type {AdmittedRequest} from '../admission/admitted-request.js';
 import {hostRefusals} from '../admission/host-refusals.js';
 import {readBody} from '../admission/read-body.js';
 import {chargeOfResult} from './charge-of-result.js';
@@ -8,19 +7,16 @@
 import {createRequestLog} from './create-request-log.js';
 import {createReservation} from './create-reservation.js';
 import type {HostServices} from './host-services.js';
+import type {RequestInputs} from './request-inputs.js';
+import type {RequestLog} from './request-log.js';
 import {refusalOfResult} from './refusal-of-result.js';
 import {runRequest} from './run-request.js';
 
-type Received = {
-	readonly id: string;
-	readonly req: IncomingMessage;
-	readonly res: ServerResponse;
-	readonly body: Uint8Array;
-	readonly admitted: AdmittedRequest;
-};
+/** A request whose body is here; nothing is reserved for it yet. */
+type Received = Omit<RequestInputs, 'reserveRun'>;
 
 /** Serves a request whose body is here: reserves its worst case, runs it, charges what it cost, and logs its end. */
-const serveReceived = async (received: Received, requestLog: ReturnType<typeof createRequestLog>, host: HostServices): Promise<void> => {
+const serveReceived = async (received: Received, requestLog: RequestLog, host: HostServices): Promise<void> => {
 	const {admitted} = received;
 	const {budget, worstCase, repeatCost} = costOfRequest(admitted);
 	const reservation = createReservation(budget, admitted, host);
--- a/packages/entry/src/lib/rights/create-rights-obtainer.ts
+++ b/packages/entry/src/lib/rights/create-rights-obtainer.ts
@@ -13,7 +13,7 @@
 import type {RightsSource} from './rights-source.js';
 
 /**
-How long the holders of a budget that had too little are left alone, in ms, so that a shortage brings no storm of
+How long the holders of a budget that had too little are left alone, in ms, so that a shortage brings no burst of
 questions. Set in e9c77d2 with other changes; not measured alone.
 */
 const holdersPauseMs = 250;
