--- a/packages/bundle/src/adopt-bundle.ts
+++ b/packages/bundle/src/adopt-bundle.ts
@@ -1,5 +1,5 @@
 import {
-	fail, succeed, type Outcome, parseJson,
+	fail, succeed, type Result, parseJson,
 } from '@deckwheel/core';
 import type {AdoptedBundle} from './adopted-bundle.js';
 import {checkBundle} from './check-bundle.js';
@@ -21,7 +21,7 @@
 
 @param current What is in force; `undefined` on a host that just started.
 */
-export const adoptBundle = (current: AdoptedBundle | undefined, signed: SignedBundle, trusted: readonly TrustedKey[]): Outcome<AdoptedBundle, Rejection> => {
+export const adoptBundle = (current: AdoptedBundle | undefined, signed: SignedBundle, trusted: readonly TrustedKey[]): Result<AdoptedBundle, Rejection> => {
 	const {text, author, approval} = signed;
 	if (!approval || !verifySignature(text, 'author', author, trusted) || !verifySignature(text, 'approver', approval, trusted)) {
 		return fail('bad_signature');
--- a/packages/cli/src/approve-draft.ts
+++ b/packages/cli/src/approve-draft.ts
@@ -1,11 +1,11 @@
 import {signText} from '@deckwheel/bundle';
-import {fail, succeed, type Outcome} from '@deckwheel/core';
+import {fail, succeed, type Result} from '@deckwheel/core';
 import type {Platform} from '@deckwheel/store-client';
 import {signedBundleOf} from './lib/signed-bundle-of.js';
 import {storeProblem} from './lib/store-problem.js';
 
 /** Signs a draft as its approver. One approval wins; a second one is told whose. */
-export const approveDraft = async (platform: Platform, id: string, signer: string, privateKey: string): Promise<Outcome<string, string>> => {
+export const approveDraft = async (platform: Platform, id: string, signer: string, privateKey: string): Promise<Result<string, string>> => {
 	const key = `bundle-draft/${id}`;
 	const object = await platform.get(key);
 	if (!object.ok) {
--- a/packages/cli/src/author-draft.ts
+++ b/packages/cli/src/author-draft.ts
@@ -1,13 +1,13 @@
 import {checkBundle, signText} from '@deckwheel/bundle';
 import {
-	fail, succeed, type Outcome, parseJson,
+	fail, succeed, type Result, parseJson,
 } from '@deckwheel/core';
 import type {Platform} from '@deckwheel/store-client';
 import {draftId} from './lib/draft-id.js';
 import {storeProblem} from './lib/store-problem.js';
 
 /** Checks and signs a bundle as its author, and stores it as a draft. Safe to repeat. */
-export const authorDraft = async (platform: Platform, text: string, signer: string, privateKey: string): Promise<Outcome<string, string>> => {
+export const authorDraft = async (platform: Platform, text: string, signer: string, privateKey: string): Promise<Result<string, string>> => {
 	const checked = checkBundle(parseJson(text));
 	if (!checked.ok) {
 		return fail(checked.error.map(({path, message}) => `${path}: ${message}`).join('\n'));
--- a/packages/cli/src/lib/ask-host.ts
+++ b/packages/cli/src/lib/ask-host.ts
@@ -1,4 +1,4 @@
-import {fail, succeed, type Outcome} from '@deckwheel/core';
+import {fail, succeed, type Result} from '@deckwheel/core';
 import got from 'got';
 import {operatorToken} from './operator-token.js';
 
@@ -8,7 +8,7 @@
 type ErrorBody = {readonly error?: {readonly message?: string}};
 
 /** Asks a host over its operators' interface. The error is one line for the operator to read. */
-export const askHost = async <T>(host: string, path: string, method: 'GET' | 'POST' = 'GET'): Promise<Outcome<T, string>> => {
+export const askHost = async <T>(host: string, path: string, method: 'GET' | 'POST' = 'GET'): Promise<Result<T, string>> => {
 	try {
 		const response = await got(`${host}${path}`, {
 			method,
--- a/packages/cli/src/lib/read-config.ts
+++ b/packages/cli/src/lib/read-config.ts
@@ -1,6 +1,6 @@
 import {readFile} from 'node:fs/promises';
 import {
-	findFaults, type Fault, fail, succeed, type Outcome,
+	findValidationIssues, type ValidationIssue, fail, succeed, type Result,
 } from '@deckwheel/core';
 import {z} from 'zod';
 import type {ToolConfig} from './tool-config.js';
@@ -12,10 +12,10 @@
 });
 
 /** Reads and checks the tool's configuration file. */
-export const readConfig = async (path: string): Promise<Outcome<ToolConfig, readonly Fault[]>> => {
+export const readConfig = async (path: string): Promise<Result<ToolConfig, readonly ValidationIssue[]>> => {
 	try {
 		const parsed = schema.safeParse(JSON.parse(await readFile(path, 'utf8')));
-		return parsed.success ? succeed(parsed.data) : fail(findFaults(parsed.error));
+		return parsed.success ? succeed(parsed.data) : fail(findValidationIssues(parsed.error));
 	} catch (error) {
 		return fail([{path: '(document)', message: (error as Error).message}]);
 	}
--- a/packages/cli/src/roll-draft.ts
+++ b/packages/cli/src/roll-draft.ts
@@ -1,5 +1,5 @@
 import {checkBundle, type SignedBundle} from '@deckwheel/bundle';
-import {fail, succeed, type Outcome} from '@deckwheel/core';
+import {fail, succeed, type Result} from '@deckwheel/core';
 import type {Platform, StoredObject} from '@deckwheel/store-client';
 import {signedBundleOf} from './lib/signed-bundle-of.js';
 import {storeProblem} from './lib/store-problem.js';
@@ -11,7 +11,7 @@
 	return checked?.ok ? checked.value.version : 0;
 };
 
-const readHead = async (platform: Platform): Promise<Outcome<StoredObject, string>> => {
+const readHead = async (platform: Platform): Promise<Result<StoredObject, string>> => {
 	const head = await platform.get(headKey);
 	if (head.ok) {
 		return head;
@@ -21,7 +21,7 @@
 };
 
 // A write whose answer was lost is settled by reading: either this very bundle is the head, or it lost.
-const settleRoll = async (platform: Platform, draft: SignedBundle): Promise<Outcome<number, string>> => {
+const settleRoll = async (platform: Platform, draft: SignedBundle): Promise<Result<number, string>> => {
 	const head = await readHead(platform);
 	if (!head.ok) {
 		return head;
@@ -37,7 +37,7 @@
 Puts an approved draft in force. Acceptance is one conditional write: of operators who race, one wins,
 and the others are told which version did.
 */
-export const rollDraft = async (platform: Platform, id: string): Promise<Outcome<number, string>> => {
+export const rollDraft = async (platform: Platform, id: string): Promise<Result<number, string>> => {
 	const object = await platform.get(`bundle-draft/${id}`);
 	if (!object.ok) {
 		return fail(storeProblem[object.error]);
--- a/packages/cli/src/top-up-budget.ts
+++ b/packages/cli/src/top-up-budget.ts
@@ -1,4 +1,4 @@
-import {fail, succeed, type Outcome} from '@deckwheel/core';
+import {fail, succeed, type Result} from '@deckwheel/core';
 import {
 	slotOfBudget, topUp, type BudgetRights, type RightsObject,
 } from '@deckwheel/ledger';
@@ -23,7 +23,7 @@
 });
 
 /** Pays tokens into a budget, by a conditional write that is safe to repeat. Returns the new limit. */
-export const topUpBudget = async (platform: Platform, {budget, organisation, tokens, id, slots}: TopUp): Promise<Outcome<number, string>> => {
+export const topUpBudget = async (platform: Platform, {budget, organisation, tokens, id, slots}: TopUp): Promise<Result<number, string>> => {
 	const key = `rights/${slotOfBudget(budget, slots)}`;
 	for (let tries = 0; tries < maxTries; tries++) {
 		const object = await platform.get(key);
--- a/packages/core/src/find-faults.ts
+++ b/packages/core/src/find-validation-issues.ts
@@ -1,4 +1,4 @@
-import type {Fault} from './fault.js';
+import type {ValidationIssue} from './validation-issue.js';
 
 /** What a zod error tells, as far as it is read here. */
 type SchemaError = {
@@ -6,5 +6,5 @@
 };
 
 /** All faults that a schema found, each named by its path. */
-export const findFaults = ({issues}: SchemaError): readonly Fault[] =>
+export const findValidationIssues = ({issues}: SchemaError): readonly ValidationIssue[] =>
 	issues.map(({path, message}) => ({path: path.length === 0 ? '(document)' : path.join('.'), message}));
--- a/packages/core/src/outcome.ts
+++ b/packages/core/src/result.ts
@@ -6,4 +6,4 @@
 
 Expected failures are values. Exceptions are reserved for broken invariants.
 */
-export type Outcome<T, E> = Ok<T> | Failed<E>;
+export type Result<T, E> = Ok<T> | Failed<E>;
--- a/packages/core/src/fault.ts
+++ b/packages/core/src/validation-issue.ts
@@ -1,5 +1,5 @@
 /** One fault in a document: where it is and what is wrong. */
-export type Fault = {
+export type ValidationIssue = {
 	readonly path: string;
 	readonly message: string;
 };
--- a/packages/daemon/src/lib/gateway/reading/read-chat.ts
+++ b/packages/daemon/src/lib/gateway/reading/read-chat.ts
@@ -1,12 +1,12 @@
 import {
-	fail, parseJson, succeed, type Outcome, type Refusal,
+	fail, parseJson, succeed, type Result, type Refusal,
 } from '@deckwheel/core';
 import {chatRequestSchema} from './chat-request-schema.js';
 import type {ChatRequest} from './chat-request.js';
 import {badRequest} from './bad-request.js';
 
 /** Reads a chat completion out of a body. */
-export const readChat = (body: string): Outcome<ChatRequest, Refusal> => {
+export const readChat = (body: string): Result<ChatRequest, Refusal> => {
 	const document = parseJson(body);
 	if (document === undefined) {
 		return fail(badRequest('The body is not JSON.'));
--- a/packages/daemon/src/lib/gateway/reading/read-request-options.ts
+++ b/packages/daemon/src/lib/gateway/reading/read-request-options.ts
@@ -1,6 +1,6 @@
 import type {Bundle} from '@deckwheel/bundle';
 import {
-	fail, succeed, type Clock, type Outcome, type Refusal,
+	fail, succeed, type Clock, type Result, type Refusal,
 } from '@deckwheel/core';
 import type {Priority} from '@deckwheel/routing';
 import type {Caller} from '../caller.js';
@@ -33,9 +33,9 @@
 	readonly clock: Clock;
 };
 
-const bad = (message: string): Outcome<never, Refusal> => fail({code: 'bad_request', message, ran: 'not_run'});
+const bad = (message: string): Result<never, Refusal> => fail({code: 'bad_request', message, ran: 'not_run'});
 
-const readDeadline = (text: string, {bundle, clock}: Sources): Outcome<number, Refusal> => {
+const readDeadline = (text: string, {bundle, clock}: Sources): Result<number, Refusal> => {
 	if (text === '') {
 		return succeed(clock.wall() + (bundle.limits.defaultDeadlineSeconds * 1000));
 	}
@@ -46,7 +46,7 @@
 		: bad(`${headerNames.deadline} must be a time within a day from now: milliseconds since 1970, or ISO 8601.`);
 };
 
-const readPriority = (text: string, {caller}: Sources): Outcome<Priority, Refusal> => {
+const readPriority = (text: string, {caller}: Sources): Result<Priority, Refusal> => {
 	if (text === '') {
 		return succeed(caller.priority === 'quick' ? 'normal' : caller.priority);
 	}
@@ -60,7 +60,7 @@
 	return succeed(order.indexOf(wanted) < order.indexOf(caller.priority) ? caller.priority : wanted);
 };
 
-const readRequestKey = (text: string, {bundle, home, clock}: Sources): Outcome<RequestKey, Refusal> => {
+const readRequestKey = (text: string, {bundle, home, clock}: Sources): Result<RequestKey, Refusal> => {
 	if (text === '') {
 		return succeed(issueKey(home, clock.wall()));
 	}
@@ -74,7 +74,7 @@
 };
 
 /** Reads what a caller's headers say of a request. */
-export const readRequestOptions = (sources: Sources): Outcome<RequestOptions, Refusal> => {
+export const readRequestOptions = (sources: Sources): Result<RequestOptions, Refusal> => {
 	const {header, clock} = sources;
 	const deadline = readDeadline(header(headerNames.deadline), sources);
 	if (!deadline.ok) {
--- a/packages/daemon/src/lib/gateway/reading/read-text-body.ts
+++ b/packages/daemon/src/lib/gateway/reading/read-text-body.ts
@@ -1,5 +1,5 @@
 import {
-	fail, succeed, type Outcome, type Refusal,
+	fail, succeed, type Result, type Refusal,
 } from '@deckwheel/core';
 import type {Context} from 'koa';
 import getRawBody from 'raw-body';
@@ -10,7 +10,7 @@
 The entry host on a platform reads bodies as bytes and without a library (`entry/src/lib`), since it forwards them as they
 are and its bundle must start fast on a small host.
 */
-export const readTextBody = async (ctx: Context, limit: number): Promise<Outcome<string, Refusal>> => {
+export const readTextBody = async (ctx: Context, limit: number): Promise<Result<string, Refusal>> => {
 	try {
 		return succeed(await getRawBody(ctx.req, {encoding: 'utf8', limit, length: ctx.get('content-length') || undefined}));
 	} catch (error) {
--- a/packages/daemon/src/lib/placing/create-request-queue.ts
+++ b/packages/daemon/src/lib/placing/create-request-queue.ts
@@ -1,8 +1,8 @@
 import {
-	fail, succeed, type Outcome, type Refusal,
+	fail, succeed, type Result, type Refusal,
 } from '@deckwheel/core';
 import {
-	emptyWaitingRoom, enterWaitingRoom, expireWaitingRoom, leaveWaitingRoom, retryAfter, type WaitingRequest, type WaitingRoom,
+	emptyRequestQueue, enqueueRequest, expireQueuedRequests, dequeueRequest, queueRetryAfterSeconds, type QueuedRequest, type QueueState,
 } from '@deckwheel/routing';
 import type {Context} from '../process/context.js';
 import type {PlaceRequest} from './place-request.js';
@@ -11,7 +11,7 @@
 
 type Waiter = {
 	readonly req: PlaceRequest;
-	readonly resolve: (outcome: Outcome<Place, Refusal>) => void;
+	readonly resolve: (outcome: Result<Place, Refusal>) => void;
 };
 
 type Options = {
@@ -23,23 +23,23 @@
 	readonly onWait: () => void;
 };
 
-/** Creates an empty queue. Who may wait, who is next and who is refused is decided by the waiting room of `routing`. */
+/** Creates an empty queue. Who may wait, who is next and who is refused is decided by the request queue of `routing`. */
 export const createRequestQueue = ({clock, metrics}: Context, {takePlace, hasPlace, onWait}: Options): RequestQueue => {
 	const waiters = new Map<number, Waiter>();
-	let room: WaitingRoom = emptyWaitingRoom;
+	let room: QueueState = emptyRequestQueue;
 	let nextId = 1;
 
-	const overloaded = (): Outcome<Place, Refusal> => {
+	const overloaded = (): Result<Place, Refusal> => {
 		metrics.count('queue.refused');
 		return fail({
 			code: 'overloaded',
 			message: 'All endpoints are busy, and the request could not start in time.',
 			ran: 'not_run',
-			retryAfterSeconds: retryAfter(room),
+			retryAfterSeconds: queueRetryAfterSeconds(room),
 		});
 	};
 
-	const turnAway = (requests: readonly WaitingRequest[]): void => {
+	const turnAway = (requests: readonly QueuedRequest[]): void => {
 		for (const {id} of requests) {
 			const waiter = waiters.get(id);
 			waiters.delete(id);
@@ -48,8 +48,8 @@
 	};
 
 	const startNext = (): boolean => {
-		const exit = leaveWaitingRoom(room, ({id}) => hasPlace(waiters.get(id)!.req), clock.monotonic());
-		room = exit.room;
+		const exit = dequeueRequest(room, ({id}) => hasPlace(waiters.get(id)!.req), clock.monotonic());
+		room = exit.queue;
 		if (!exit.next) {
 			return false;
 		}
@@ -64,10 +64,10 @@
 		async wait(request, maxQueued) {
 			const {target, organisation, weight, priority, deadline} = request;
 			const id = nextId++;
-			const entry = enterWaitingRoom(room, {
+			const entry = enqueueRequest(room, {
 				id, target, organisation, weight, priority, startBy: deadline,
 			}, maxQueued, clock.monotonic());
-			room = entry.room;
+			room = entry.queue;
 			if (!entry.isAdmitted) {
 				return overloaded();
 			}
@@ -79,7 +79,7 @@
 		},
 		isAhead: ({priority}) => room.waiting.some(other => other.priority === priority || priority === 'slow' || other.priority === 'quick'),
 		pump() {
-			const {room: next, expired} = expireWaitingRoom(room, clock.monotonic());
+			const {room: next, expired} = expireQueuedRequests(room, clock.monotonic());
 			room = next;
 			turnAway(expired);
 			while (room.waiting.length > 0 && startNext()) {
--- a/packages/daemon/src/lib/placing/start-router.ts
+++ b/packages/daemon/src/lib/placing/start-router.ts
@@ -1,11 +1,11 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import type {Bundle} from '@deckwheel/bundle';
 import {
-	fail, succeed, type Outcome, type Refusal,
+	fail, succeed, type Result, type Refusal,
 } from '@deckwheel/core';
 import {
-	chooseEndpoint, rateByCost, rateByInFlight, rateByTurn, stepEndpoints, stepRetryBudget,
-	type CostRequest, type EndpointChoice, type EndpointEvent, type EndpointTable, type Priority, type RateEndpoint, type RetryBudget,
+	chooseEndpoint, scoreByCost, scoreByInFlight, scoreByRoundRobin, stepEndpoints, stepRetryBudget,
+	type CostRequest, type EndpointChoice, type EndpointEvent, type EndpointTable, type Priority, type ScoreEndpoint, type RetryBudget,
 } from '@deckwheel/routing';
 import {LRUCache} from 'lru-cache';
 import type {Context} from '../process/context.js';
@@ -47,9 +47,9 @@
 const firstRetryCredit = 5;
 
 /** The policies that the setting `routing` names. The last two are baselines. */
-const ratings: Readonly<Record<'cost' | 'round_robin' | 'least_in_flight', RateEndpoint<CostRequest>>> = {cost: rateByCost, round_robin: rateByTurn, least_in_flight: rateByInFlight};
+const ratings: Readonly<Record<'cost' | 'round_robin' | 'least_in_flight', ScoreEndpoint<CostRequest>>> = {cost: scoreByCost, round_robin: scoreByRoundRobin, least_in_flight: scoreByInFlight};
 
-const noEndpoint: Outcome<Place, Refusal> = fail({
+const noEndpoint: Result<Place, Refusal> = fail({
 	code: 'no_endpoint',
 	message: 'No endpoint that serves this can be reached now.',
 	ran: 'not_run',
@@ -138,7 +138,7 @@
 	};
 
 	const queue = createRequestQueue(context, {
-		hasPlace: request => choose(request)?.hasRoom === true,
+		hasPlace: request => choose(request)?.hasCapacity === true,
 		takePlace(request) {
 			const choice = choose(request);
 			return choice && take(request, choice);
@@ -174,7 +174,7 @@
 				return noEndpoint;
 			}
 
-			if (choice.hasRoom && !queue.isAhead(request)) {
+			if (choice.hasCapacity && !queue.isAhead(request)) {
 				return succeed(take(request, choice));
 			}
 
--- a/packages/daemon/src/lib/running/create-job-claims.ts
+++ b/packages/daemon/src/lib/running/create-job-claims.ts
@@ -1,5 +1,5 @@
 import {randomUUID} from 'node:crypto';
-import type {Outcome} from '@deckwheel/core';
+import type {Result} from '@deckwheel/core';
 import {slotOfBudget, type ClaimRequest, type SlotReply} from '@deckwheel/ledger';
 import type {Place} from '../placing/place.js';
 import type {Context} from '../process/context.js';
@@ -21,7 +21,7 @@
 
 /** Creates what jobs use to reach the slots of their keys. */
 export const createJobClaims = ({settings, self, clock, tracing}: Context, {askSlot, settler, keepMs}: Options): JobClaims => {
-	const ask = async (job: Job, request: Parameters<AskSlot>[2]): Promise<Outcome<SlotReply, 'unreachable'>> =>
+	const ask = async (job: Job, request: Parameters<AskSlot>[2]): Promise<Result<SlotReply, 'unreachable'>> =>
 		tracing.tracer.startActiveSpan(`slot.${request.type}`, async span => {
 			const slot = slotOfBudget(job.budget, settings.slots);
 			span.setAttributes({'deckwheel.home': job.key.home, 'deckwheel.slot': slot});
--- a/packages/daemon/src/lib/slots/create-ask-slot.ts
+++ b/packages/daemon/src/lib/slots/create-ask-slot.ts
@@ -1,5 +1,5 @@
 import {setTimeout as delay} from 'node:timers/promises';
-import {fail, succeed, type Outcome} from '@deckwheel/core';
+import {fail, succeed, type Result} from '@deckwheel/core';
 import type {SlotReply} from '@deckwheel/ledger';
 import type {Mesh} from '@deckwheel/mesh';
 import type {Context} from '../process/context.js';
@@ -59,7 +59,7 @@
 		return address === undefined ? undefined : send(address, question, 1);
 	};
 
-	return async (hall, slot, request, deadline): Promise<Outcome<SlotReply, 'unreachable'>> => {
+	return async (hall, slot, request, deadline): Promise<Result<SlotReply, 'unreachable'>> => {
 		let attempt = 0;
 		while (true) {
 			// A hall of which nobody was heard lately is cut off: the caller learns it at once.
--- a/packages/entry/src/adapter/bounds.ts
+++ b/packages/entry/src/adapter/bounds.ts
@@ -11,7 +11,7 @@
 		readonly slack: number;
 	};
 	/** How long callers wait for a request to be read before they send it elsewhere; `undefined` where that is not known. */
-	readonly unreadPatience?: {
+	readonly unreadTimeout?: {
 		/** In ms. */
 		readonly ms: number;
 		/** Of the time that the caller has, 0 to 1. The shorter one counts. */
--- a/packages/entry/src/lib/admission/admit-request.ts
+++ b/packages/entry/src/lib/admission/admit-request.ts
@@ -1,5 +1,5 @@
 import type {IncomingHttpHeaders} from 'node:http';
-import {fail, succeed, type Outcome} from '@deckwheel/core';
+import {fail, succeed, type Result} from '@deckwheel/core';
 import type {HeaderNames} from '../../adapter/header-names.js';
 import type {FleetConfig} from '../../config/fleet-config.js';
 import type {Organisation} from '../../config/organisation.js';
@@ -42,7 +42,7 @@
 Refused are: any request before there is a configuration (503), one without a route (404), one without a known key on a
 route that needs one (401), and a prompt whose size is no two whole numbers (400).
 */
-export const admitRequest = (config: FleetConfig | undefined, {url, headers, receivedAt}: Head, headerNames: HeaderNames): Outcome<AdmittedRequest, HostRefusal> => {
+export const admitRequest = (config: FleetConfig | undefined, {url, headers, receivedAt}: Head, headerNames: HeaderNames): Result<AdmittedRequest, HostRefusal> => {
 	if (!config) {
 		return fail(hostRefusals.notReady);
 	}
--- a/packages/entry/src/lib/choice/create-endpoint-chooser.ts
+++ b/packages/entry/src/lib/choice/create-endpoint-chooser.ts
@@ -1,5 +1,5 @@
 import {
-	chooseEndpoint, closureOfAll, rateByAffinity, stepEndpoints, type EndpointTable, type WarmupRules,
+	chooseEndpoint, exclusionOfAll, scoreByAffinity, stepEndpoints, type EndpointTable, type WarmupRules,
 } from '@deckwheel/routing';
 import type {ListedEndpoint} from '../../adapter/listed-endpoint.js';
 import type {PromptPart} from '../admission/prompt-part.js';
@@ -67,16 +67,16 @@
 				promptTokens: parts.reduce((sum, {tokens}) => sum + tokens, 0),
 				avoidedHalls,
 				tried,
-			}, now(), rateByAffinity);
+			}, now(), scoreByAffinity);
 			return choice && {endpoint: byId.get(choice.endpoint)!, reason: choice.reason};
 		},
-		started(endpoint, parts) {
+		noteStarted(endpoint, parts) {
 			cacheEstimate.note(endpoint, parts);
 			table = stepEndpoints(table, {type: 'started', endpoint}, now());
 		},
-		closureOfAll: request => closureOfAll(table, limitsOf(request), now()),
+		exclusionOfAll: request => exclusionOfAll(table, limitsOf(request), now()),
 		note(event) {
-			const wasLeaving = table.get(event.endpoint)?.hasSaidLeaving;
+			const wasLeaving = table.get(event.endpoint)?.hasAnnouncedLeaving;
 			table = stepEndpoints(table, event, now());
 			if (event.type === 'leaving' && !wasLeaving) {
 				listPreferred();
--- a/packages/entry/src/lib/choice/endpoint-chooser.ts
+++ b/packages/entry/src/lib/choice/endpoint-chooser.ts
@@ -1,4 +1,4 @@
-import type {EndpointClosure, EndpointEvent} from '@deckwheel/routing';
+import type {EndpointExclusion, EndpointEvent} from '@deckwheel/routing';
 import type {ListedEndpoint} from '../../adapter/listed-endpoint.js';
 import type {ChoiceRequest} from './choice-request.js';
 import type {ChosenEndpoint} from './chosen-endpoint.js';
@@ -10,9 +10,9 @@
 	readonly evacuate: (halls: ReadonlySet<string>) => void;
 	readonly choose: (request: ChoiceRequest) => ChosenEndpoint | undefined;
 	/** Why no endpoint of a service is open now, where time or an order of the operators will open one; else `undefined`. */
-	readonly closureOfAll: (request: Pick<ChoiceRequest, 'service' | 'regions'>) => EndpointClosure | undefined;
+	readonly exclusionOfAll: (request: Pick<ChoiceRequest, 'service' | 'regions'>) => EndpointExclusion | undefined;
 	/** Notes that a request is sent to an endpoint, which reads its prompt. */
-	readonly started: (endpoint: string, parts: ChoiceRequest['parts']) => void;
+	readonly noteStarted: (endpoint: string, parts: ChoiceRequest['parts']) => void;
 	/** Takes in what was learnt of one endpoint. */
 	readonly note: (event: Exclude<EndpointEvent, {type: 'configured' | 'started'}>) => void;
 };
--- a/packages/entry/src/lib/host/create-caller-connections.ts
+++ b/packages/entry/src/lib/host/create-caller-connections.ts
@@ -1,6 +1,6 @@
 import type {ServerResponse} from 'node:http';
 import type {Socket} from 'node:net';
-import {onceAnswerClosed} from '../relaying/once-answer-closed.js';
+import {onceResponseClosed} from '../relaying/once-response-closed.js';
 import type {CallerConnections} from './caller-connections.js';
 
 type Connection = {
@@ -51,7 +51,7 @@
 			}
 
 			connection?.open.add(res);
-			onceAnswerClosed(res, () => {
+			onceResponseClosed(res, () => {
 				if (connection) {
 					connection.open.delete(res);
 					connection.answeredAtBytes = socket.bytesRead;
--- a/packages/entry/src/lib/host/create-request-counter.ts
+++ b/packages/entry/src/lib/host/create-request-counter.ts
@@ -1,4 +1,4 @@
-import {onceAnswerClosed} from '../relaying/once-answer-closed.js';
+import {onceResponseClosed} from '../relaying/once-response-closed.js';
 import type {RequestCounter} from './request-counter.js';
 
 /** How often a host that stops looks whether all requests have ended, in ms. */
@@ -14,7 +14,7 @@
 	return {
 		add(res) {
 			open++;
-			onceAnswerClosed(res, () => {
+			onceResponseClosed(res, () => {
 				open--;
 			});
 		},
--- a/packages/entry/src/lib/host/create-retry-limiter.ts
+++ b/packages/entry/src/lib/host/create-retry-limiter.ts
@@ -19,6 +19,6 @@
 		noteRequest(service) {
 			step(service, 'request');
 		},
-		mayRepeat: service => step(service, 'repeat'),
+		mayRetry: service => step(service, 'repeat'),
 	};
 };
--- a/packages/entry/src/lib/host/may-send-on.ts
+++ b/packages/entry/src/lib/host/may-forward.ts
@@ -1,8 +1,8 @@
-import type {StopPlan} from './stop-plan.js';
+import type {ShutdownPlan} from './shutdown-plan.js';
 
 type Inputs = {
 	/** Of the host, once it was told to stop. */
-	readonly stop: StopPlan | undefined;
+	readonly stop: ShutdownPlan | undefined;
 	/** Of the request, in monotonic ms: the earlier of when its caller stops waiting and the end of its route's time. */
 	readonly deadline: number;
 	/** Monotonic ms. */
@@ -22,7 +22,7 @@
 Once it is `false` for a request, it stays so. It decides on the request and not on the connection, because a request may come late
 in many ways: on a connection that was accepted before, with a slow body, after a wait for rights, or after a try elsewhere.
 */
-export const maySendOn = ({stop, deadline, now}: Inputs): boolean => {
+export const mayForward = ({stop, deadline, now}: Inputs): boolean => {
 	if (!stop) {
 		return true;
 	}
--- a/packages/entry/src/lib/host/new-holder.ts
+++ b/packages/entry/src/lib/host/new-holder-name.ts
@@ -5,5 +5,5 @@
 const randomValues = radix ** 3;
 
 /** A new name for this life of a host, as a holder of rights: the host's name, `#`, and what differs after each start. */
-export const newHolder = (host: string): string =>
+export const newHolderName = (host: string): string =>
 	`${host}#${Date.now().toString(radix)}${Math.floor(Math.random() * randomValues).toString(radix)}`;
--- a/packages/entry/src/lib/host/plan-stop.ts
+++ b/packages/entry/src/lib/host/plan-shutdown.ts
@@ -1,4 +1,4 @@
-import type {StopPlan} from './stop-plan.js';
+import type {ShutdownPlan} from './shutdown-plan.js';
 
 /** After the signal to stop, new connections may still come for as long as the balancer takes to notice, in ms. */
 const lingerMs = 3000;
@@ -24,7 +24,7 @@
 @param now When the signal was noticed, in monotonic ms.
 @param graceMs From the signal until the process is killed, in ms.
 */
-export const planStop = (now: number, graceMs: number): StopPlan => {
+export const planShutdown = (now: number, graceMs: number): ShutdownPlan => {
 	const endBy = now + graceMs - giveBackMs;
 	const answerBy = endBy - writeAnswerMs;
 	return {
--- a/packages/entry/src/lib/host/retry-limiter.ts
+++ b/packages/entry/src/lib/host/retry-limiter.ts
@@ -2,5 +2,5 @@
 export type RetryLimiter = {
 	readonly noteRequest: (service: string) => void;
 	/** Whether a service may get one more repeat now; takes it if so. */
-	readonly mayRepeat: (service: string) => boolean;
+	readonly mayRetry: (service: string) => boolean;
 };
--- a/packages/entry/src/lib/host/run-planned-stop.ts
+++ b/packages/entry/src/lib/host/run-shutdown.ts
@@ -2,13 +2,13 @@
 import type {RightsKeeper} from '../rights/rights-keeper.js';
 import type {RequestCounter} from './request-counter.js';
 import type {Servers} from './servers.js';
-import type {StopPlan} from './stop-plan.js';
+import type {ShutdownPlan} from './shutdown-plan.js';
 
 type Options = {
 	readonly servers: Pick<Servers, 'closeIdleConnections' | 'stopListening'>;
 	readonly rights: Pick<RightsKeeper, 'retire'>;
 	readonly open: Pick<RequestCounter, 'count' | 'untilNone'>;
-	readonly plan: Pick<StopPlan, 'listenUntil' | 'endBy'>;
+	readonly plan: Pick<ShutdownPlan, 'listenUntil' | 'endBy'>;
 	/** Waits until a monotonic time, in ms. */
 	readonly waitUntil: (time: number) => Promise<unknown>;
 	/** Sends no request on any more. */
@@ -21,10 +21,10 @@
 /**
 Finishes what runs and gives rights back, before the process of a host that is no longer ready may end.
 
-Which requests are still sent on meanwhile is decided for each of them (`maySendOn`). What is sent on is waited for. While the last
+Which requests are still sent on meanwhile is decided for each of them (`mayForward`). What is sent on is waited for. While the last
 rights go back, what is open may still end, and a request that comes is refused.
 */
-export const runPlannedStop = async ({servers, rights, open, plan, waitUntil, sendNoMore, endRequests, log}: Options): Promise<void> => {
+export const runShutdown = async ({servers, rights, open, plan, waitUntil, sendNoMore, endRequests, log}: Options): Promise<void> => {
 	log('stopping', {open: open.count()});
 	servers.closeIdleConnections();
 	await waitUntil(plan.listenUntil);
--- a/packages/entry/src/lib/host/stop-plan.ts
+++ b/packages/entry/src/lib/host/shutdown-plan.ts
@@ -1,5 +1,5 @@
 /** When a host that was told to stop does what. All times are monotonic ms. */
-export type StopPlan = {
+export type ShutdownPlan = {
 	/** Until then, every request is sent on. */
 	readonly takeAllUntil: number;
 	/** Until then, new connections are accepted. */
--- a/packages/entry/src/lib/host/start-peer-tasks.ts
+++ b/packages/entry/src/lib/host/start-peer-tasks.ts
@@ -1,4 +1,4 @@
-import {createTally, probeAddress} from '@deckwheel/host-kit';
+import {createEventCounter, probeAddress} from '@deckwheel/host-kit';
 import {
 	createEndpointEnds, createPoisonWatch, suspicionsReplySchema, type PoisonWatch,
 } from '@deckwheel/poison';
@@ -89,7 +89,7 @@
 		log,
 		now,
 	});
-	const permits = createTally('permits', log);
+	const permits = createEventCounter('permits', log);
 	const limits = createEndpointLimits({
 		self: () => links.self(),
 		others: () => links.others(),
@@ -100,7 +100,7 @@
 			links.noteHost(peer, how);
 		},
 		onChanged: onLimitChanged,
-		count: permits.count,
+		count: permits.increment,
 		log,
 		now,
 	});
--- a/packages/entry/src/lib/peers/start-peer-links.ts
+++ b/packages/entry/src/lib/peers/start-peer-links.ts
@@ -1,5 +1,5 @@
 import {splitAddress} from '@deckwheel/core';
-import {createTally} from '@deckwheel/host-kit';
+import {createEventCounter} from '@deckwheel/host-kit';
 import {openMesh, type Mesh} from '@deckwheel/mesh';
 import type {ListedPeer} from '../../adapter/listed-peer.js';
 import type {Log} from '../../adapter/log.js';
@@ -71,7 +71,7 @@
 			secret,
 			listen: {host, port},
 			handlers: {onRequest: answer, onMessage: () => undefined, onLinkReplaced: noteReplaced},
-		}), createTally('peer_questions', log));
+		}), createEventCounter('peer_questions', log));
 		peers.setSelf({...self, address: `${host}:${mesh.port}`});
 	};
 
--- a/packages/entry/src/lib/relaying/create-answer-writer.ts
+++ b/packages/entry/src/lib/relaying/create-response-writer.ts
@@ -1,6 +1,6 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {copyHeaders} from '../sending/copy-headers.js';
-import type {AnswerWriter} from './answer-writer.js';
+import type {ResponseWriter} from './response-writer.js';
 
 const noHeaders: ReadonlySet<string> = new Set();
 const ownLength: ReadonlySet<string> = new Set(['content-length']);
@@ -11,7 +11,7 @@
 @param isHead Whether the caller asked for the head only: then its length stays what the endpoint said.
 @param isClosing Whether the caller's connection is closed after the answer.
 */
-export const createAnswerWriter = (res: ServerResponse, isHead: boolean, isClosing: () => boolean): AnswerWriter => {
+export const createResponseWriter = (res: ServerResponse, isHead: boolean, isClosing: () => boolean): ResponseWriter => {
 	const writeHead = (response: IncomingMessage, dropped: ReadonlySet<string>, extra: readonly string[] = []): void => {
 		res.sendDate = false;
 		const closing = isClosing() ? ['Connection', 'close'] : [];
--- a/packages/entry/src/lib/relaying/once-answer-closed.ts
+++ b/packages/entry/src/lib/relaying/once-response-closed.ts
@@ -6,7 +6,7 @@
 
 @returns What stops it.
 */
-export const onceAnswerClosed = (res: ServerResponse, callback: () => void): () => void => {
+export const onceResponseClosed = (res: ServerResponse, callback: () => void): () => void => {
 	const {socket} = res.req;
 	/** A listener that is taken off while its event is told is still called. */
 	let isOver = false;
--- a/packages/entry/src/lib/relaying/read-answer.ts
+++ b/packages/entry/src/lib/relaying/read-response-body.ts
@@ -2,7 +2,7 @@
 import type {IncomingMessage} from 'node:http';
 
 /** Reads a whole answer; `undefined` when it broke off. */
-export const readAnswer = async (response: IncomingMessage): Promise<Uint8Array | undefined> => new Promise(resolve => {
+export const readResponseBody = async (response: IncomingMessage): Promise<Uint8Array | undefined> => new Promise(resolve => {
 	const chunks: Uint8Array[] = [];
 	response.on('data', (chunk: Uint8Array) => {
 		chunks.push(chunk);
--- a/packages/entry/src/lib/relaying/answer-writer.ts
+++ b/packages/entry/src/lib/relaying/response-writer.ts
@@ -1,7 +1,7 @@
 import type {IncomingMessage} from 'node:http';
 
 /** Writes an endpoint's answer to the caller. */
-export type AnswerWriter = {
+export type ResponseWriter = {
 	/** Whether the caller has got a part of an answer. */
 	readonly hasBegun: () => boolean;
 	/** Writes the head of a stream, unless an earlier run did. */
--- a/packages/entry/src/lib/request/create-request-end.ts
+++ b/packages/entry/src/lib/request/create-request-end.ts
@@ -1,6 +1,6 @@
 import type {ServerResponse} from 'node:http';
 import type {Schedule} from '../../adapter/schedule.js';
-import {onceAnswerClosed} from '../relaying/once-answer-closed.js';
+import {onceResponseClosed} from '../relaying/once-response-closed.js';
 
 /** What ends a request from outside. */
 type RequestEnd = {
@@ -40,7 +40,7 @@
 		abort.abort();
 	};
 
-	const forgetAnswer = onceAnswerClosed(res, onClose);
+	const forgetAnswer = onceResponseClosed(res, onClose);
 	ending.addEventListener('abort', onDeadline);
 	// A close that came before this is never told again.
 	if (res.closed || res.req.socket.destroyed) {
--- a/packages/entry/src/lib/request/create-request-log.ts
+++ b/packages/entry/src/lib/request/create-request-log.ts
@@ -1,6 +1,6 @@
 import type {ServerResponse} from 'node:http';
 import {answerRefusal} from '../admission/answer-refusal.js';
-import type {HostServices} from './host-services.js';
+import type {HostContext} from './host-context.js';
 import type {RequestLog} from './request-log.js';
 
 type Options = {
@@ -11,7 +11,7 @@
 };
 
 /** Creates the log of one request: one line when it ends, whichever way. */
-export const createRequestLog = ({id, receivedAt, res}: Options, {log, config, headerNames, closesAfter, now}: HostServices): RequestLog => {
+export const createRequestLog = ({id, receivedAt, res}: Options, {log, config, headerNames, closesAfter, now}: HostContext): RequestLog => {
 	const ms = (): number => Math.round(now() - receivedAt);
 	return {
 		refused(refusal, fields = {}) {
--- a/packages/entry/src/lib/request/create-reservation.ts
+++ b/packages/entry/src/lib/request/create-reservation.ts
@@ -1,6 +1,6 @@
 import type {AdmittedRequest} from '../admission/admitted-request.js';
 import {hostRefusals} from '../admission/host-refusals.js';
-import type {HostServices} from './host-services.js';
+import type {HostContext} from './host-context.js';
 import type {Reservation} from './reservation.js';
 
 /**
@@ -10,7 +10,7 @@
 const rightsWaitShare = 0.2;
 
 /** Creates the reservation of one request. Without a budget, everything is granted and nothing is counted. */
-export const createReservation = (budget: string | undefined, {route, deadline}: AdmittedRequest, {rights, now}: Pick<HostServices, 'rights' | 'now'>): Reservation => {
+export const createReservation = (budget: string | undefined, {route, deadline}: AdmittedRequest, {rights, now}: Pick<HostContext, 'rights' | 'now'>): Reservation => {
 	let reserved = 0;
 	return {
 		async reserve(tokens, isFirstRun) {
--- a/packages/entry/src/lib/request/host-services.ts
+++ b/packages/entry/src/lib/request/host-context.ts
@@ -14,16 +14,16 @@
 import type {RightsKeeper} from '../rights/rights-keeper.js';
 
 /** What serving a request needs of the host. */
-export type HostServices = {
+export type HostContext = {
 	readonly config: () => FleetConfig | undefined;
 	/** Whether a caller's connection is closed after this answer. */
 	readonly closesAfter: (res: ServerResponse) => boolean;
 	/** Whether this host was told to stop. */
 	readonly isStopping: () => boolean;
 	/** Whether a request may still be sent to an endpoint, by its deadline in monotonic ms. Asked right before each sending. */
-	readonly maySendOn: (deadline: number) => boolean;
+	readonly mayForward: (deadline: number) => boolean;
 	/** Aborted shortly before a stop ends: the deadline of all that are open. */
-	readonly ending: AbortSignal;
+	readonly shutdownSignal: AbortSignal;
 	/** Whether this host is too late with its own work to judge others by the time that they take. */
 	readonly isOverloaded: () => boolean;
 	/** Whether one more request is better served by another host. */
@@ -32,7 +32,7 @@
 	readonly waitedMs: (res: ServerResponse) => number;
 	/** Notes how long an endpoint took to accept a connection, in ms. */
 	readonly noteConnect: (endpoint: ListedEndpoint, tookMs: number) => void;
-	readonly unreadPatience: Bounds['unreadPatience'];
+	readonly unreadTimeout: Bounds['unreadTimeout'];
 	readonly headerNames: HeaderNames;
 	readonly chooser: EndpointChooser;
 	readonly limits: Pick<EndpointLimits, 'noteAnswer' | 'isLimited' | 'obtain'>;
--- a/packages/entry/src/lib/request/run-attempt.ts
+++ b/packages/entry/src/lib/request/run-attempt.ts
@@ -1,8 +1,8 @@
 import type {IncomingMessage} from 'node:http';
 import {httpStatus, isSuccessStatus} from '@deckwheel/core';
 import type {ListedEndpoint} from '../../adapter/listed-endpoint.js';
-import type {AnswerWriter} from '../relaying/answer-writer.js';
-import {readAnswer} from '../relaying/read-answer.js';
+import type {ResponseWriter} from '../relaying/response-writer.js';
+import {readResponseBody} from '../relaying/read-response-body.js';
 import {relayStream} from '../relaying/relay-stream.js';
 import type {AttemptResult} from '../sending/attempt-result.js';
 import {forwardedHeaders} from '../sending/forwarded-headers.js';
@@ -12,13 +12,13 @@
 import {sendAttempt} from '../sending/send-attempt.js';
 import {trackAttempt} from '../sending/track-attempt.js';
 import type {AttemptEnd} from './attempt-end.js';
-import type {HostServices} from './host-services.js';
+import type {HostContext} from './host-context.js';
 import type {RequestInputs} from './request-inputs.js';
 
 type Options = {
 	readonly request: RequestInputs;
 	readonly endpoint: ListedEndpoint;
-	readonly writer: AnswerWriter;
+	readonly writer: ResponseWriter;
 	/** Where a stream is to be taken up again. */
 	readonly lastEventId: string | undefined;
 	/** Whether the request may run at another endpoint if this one's hall is lost. */
@@ -30,7 +30,7 @@
 const hasBody = ({req, body}: RequestInputs): boolean =>
 	body.length > 0 || req.headers['content-length'] !== undefined || req.headers['transfer-encoding'] !== undefined;
 
-const noteNotice = ({id}: ListedEndpoint, {isLeaving, restUntil, requestLimit}: EndpointNotice, {chooser, log, now}: HostServices): void => {
+const noteNotice = ({id}: ListedEndpoint, {isLeaving, restUntil, requestLimit}: EndpointNotice, {chooser, log, now}: HostContext): void => {
 	if (isLeaving) {
 		chooser.note({type: 'leaving', endpoint: id});
 	}
@@ -44,7 +44,7 @@
 	});
 };
 
-const send = async ({request, endpoint, lastEventId}: Options, sentAt: number, signal: AbortSignal, host: HostServices): Promise<AttemptResult> => {
+const send = async ({request, endpoint, lastEventId}: Options, sentAt: number, signal: AbortSignal, host: HostContext): Promise<AttemptResult> => {
 	const {req, admitted, body} = request;
 	return sendAttempt({
 		endpoint,
@@ -81,7 +81,7 @@
 	}, host.pool, host.headerNames);
 };
 
-const relay = async (response: IncomingMessage, {request, endpoint, writer, lastEventId}: Options, host: HostServices): Promise<AttemptEnd> => {
+const relay = async (response: IncomingMessage, {request, endpoint, writer, lastEventId}: Options, host: HostContext): Promise<AttemptEnd> => {
 	const relayed = await relayStream(response, request.res, {
 		lastId: lastEventId,
 		onChunk() {
@@ -100,7 +100,7 @@
 	return {type: 'streamed', status: response.statusCode!, relayed};
 };
 
-const receive = async (response: IncomingMessage, options: Options, host: HostServices): Promise<AttemptEnd> => {
+const receive = async (response: IncomingMessage, options: Options, host: HostContext): Promise<AttemptEnd> => {
 	const status = response.statusCode!;
 	const isSuccess = isSuccessStatus(status);
 	// A success without the endpoint's stamp is somebody else's answer: its address may have been given to another process.
@@ -113,7 +113,7 @@
 		return relay(response, options, host);
 	}
 
-	const body = await readAnswer(response);
+	const body = await readResponseBody(response);
 	if (body === undefined) {
 		return {type: 'lost', reason: 'broken'};
 	}
@@ -121,7 +121,7 @@
 	return {type: status >= httpStatus.internalServerError ? 'server_error' : 'whole', response, body};
 };
 
-const toEnd = async (result: AttemptResult, options: Options, host: HostServices): Promise<AttemptEnd> => {
+const toEnd = async (result: AttemptResult, options: Options, host: HostContext): Promise<AttemptEnd> => {
 	if (result.type === 'unsent') {
 		return {type: 'unsent'};
 	}
@@ -139,7 +139,7 @@
 
 A whole answer is read and left for the caller of this function to pass on; a stream is passed on as it comes.
 */
-export const runAttempt = async (options: Options, host: HostServices): Promise<AttemptEnd> => {
+export const runAttempt = async (options: Options, host: HostContext): Promise<AttemptEnd> => {
 	const sentAt = host.now();
 	const {endpoint, mayMove} = options;
 	const tracked = trackAttempt(host.halls, endpoint, {sentAt, mayMove, signal: options.signal});
--- a/packages/entry/src/lib/request/run-request.ts
+++ b/packages/entry/src/lib/request/run-request.ts
@@ -1,14 +1,14 @@
 import type {ListedEndpoint} from '../../adapter/listed-endpoint.js';
 import {pickService} from '../choice/pick-service.js';
-import {createAnswerWriter} from '../relaying/create-answer-writer.js';
-import {mayRunAgain} from '../admission/may-run-again.js';
+import {createResponseWriter} from '../relaying/create-response-writer.js';
+import {isRetryable} from '../admission/is-retryable.js';
 import {regionsOf} from '../choice/regions-of.js';
 import {obtainPermit} from '../request-limits/obtain-permit.js';
 import type {AttemptEnd} from './attempt-end.js';
 import {createRequestEnd} from './create-request-end.js';
 import {decideNextStep} from './decide-next-step.js';
 import {decideOutcome} from './decide-outcome.js';
-import type {HostServices} from './host-services.js';
+import type {HostContext} from './host-context.js';
 import {judgeEndpoint} from './judge-endpoint.js';
 import type {NextStep} from './next-step.js';
 import {noProgress} from './no-progress.js';
@@ -32,8 +32,8 @@
 };
 
 /** Why a request is given up after a try, for the log and the refusal. */
-const reasonOf = (end: AttemptEnd, next: NextStep, maySendOn: boolean): string => {
-	if (next.type === 'send_elsewhere' && !maySendOn) {
+const reasonOf = (end: AttemptEnd, next: NextStep, mayForward: boolean): string => {
+	if (next.type === 'send_elsewhere' && !mayForward) {
 		return 'host_stopping';
 	}
 
@@ -44,7 +44,7 @@
 const isAnswer = ({type}: AttemptEnd): boolean => type === 'whole' || type === 'streamed' || type === 'server_error';
 
 /** Tells the chooser and the watch of halls how a try ended. */
-const noteEnd = ({end, endpoint: {id, hall}, startedAt, isOver, outputTokens}: EndedAttempt, host: HostServices): void => {
+const noteEnd = ({end, endpoint: {id, hall}, startedAt, isOver, outputTokens}: EndedAttempt, host: HostContext): void => {
 	const judgement = judgeEndpoint({end: end.type, isOver, isOverloaded: host.isOverloaded()});
 	host.chooser.note(judgement === 'succeeded'
 		? {
@@ -57,7 +57,7 @@
 };
 
 /** Tells the watch of requests that end endpoints how a try ended. */
-const notePoison = ({id, fingerprint}: RequestInputs, {end, endpoint, startedAt, isOver}: Omit<EndedAttempt, 'outputTokens'>, {poison}: HostServices): void => {
+const notePoison = ({id, fingerprint}: RequestInputs, {end, endpoint, startedAt, isOver}: Omit<EndedAttempt, 'outputTokens'>, {poison}: HostContext): void => {
 	if (isAnswer(end)) {
 		poison.runAnswered(fingerprint);
 	} else if (end.type === 'lost' && !isOver) {
@@ -73,17 +73,17 @@
 This is the loop around the decisions: which endpoint (`chooser.choose`), what a try's end means (`stepProgress`,
 `judgeEndpoint`), what comes next (`decideNextStep`), and what is known when it is given up (`decideOutcome`).
 */
-export const runRequest = async (request: RequestInputs, host: HostServices): Promise<RequestResult> => {
+export const runRequest = async (request: RequestInputs, host: HostContext): Promise<RequestResult> => {
 	const {req, res, admitted: {route, prompt, deadline}} = request;
-	const {chooser, ending, schedule, now} = host;
+	const {chooser, shutdownSignal, schedule, now} = host;
 	const service = pickService(route, Math.random()) ?? '';
 	const regions = regionsOf(request.admitted);
-	const isRepeatable = mayRunAgain(route);
+	const isRepeatable = isRetryable(route);
 	const parts = prompt?.parts ?? [];
 	const tokensPerEvent = host.config()?.services.get(service)?.tokensPerEvent ?? 0;
-	const writer = createAnswerWriter(res, req.method === 'HEAD', () => host.closesAfter(res));
+	const writer = createResponseWriter(res, req.method === 'HEAD', () => host.closesAfter(res));
 	const requestEnd = createRequestEnd({
-		res, deadline, ending, schedule, now,
+		res, deadline, ending: shutdownSignal, schedule, now,
 	});
 	let progress: RequestProgress = noProgress;
 
@@ -95,12 +95,12 @@
 		};
 	};
 
-	const maySendOn = (): boolean => host.maySendOn(deadline);
+	const mayForward = (): boolean => host.mayForward(deadline);
 
 	const giveUp = (reason: string, retryAt?: number): RequestResult => {
 		const endedBy = requestEnd.endedBy();
 		const outcome = decideOutcome({progress, endedBy, hasAnswerBegun: writer.hasBegun()});
-		const closure = outcome === 'not_run' && isWantOfEndpoints(reason) ? chooser.closureOfAll({service, regions}) : undefined;
+		const closure = outcome === 'not_run' && isWantOfEndpoints(reason) ? chooser.exclusionOfAll({service, regions}) : undefined;
 		if (closure) {
 			return finish(outcome, `endpoints_${closure.reason}`, {retryAt: closure.until});
 		}
@@ -125,13 +125,13 @@
 			return next.type;
 		}
 
-		const isObtained = maySendOn() && host.retries.mayRepeat(service) && (next.needs === 'retry' || await request.reserveRun());
-		return isObtained && maySendOn() ? next.type : next.otherwise;
+		const isObtained = mayForward() && host.retries.mayRetry(service) && (next.needs === 'retry' || await request.reserveRun());
+		return isObtained && mayForward() ? next.type : next.otherwise;
 	};
 
 	const tryEndpoint = async (endpoint: ListedEndpoint): Promise<AttemptEnd> => {
 		progress = stepProgress(progress, {type: 'sent', endpoint});
-		chooser.started(endpoint.id, parts);
+		chooser.noteStarted(endpoint.id, parts);
 		const startedAt = now();
 		const end = await runAttempt({
 			request, endpoint, writer, lastEventId: progress.lastEventId, mayMove: isRepeatable && progress.arrivals + 1 < route.maxAttempts, signal: requestEnd.signal,
@@ -155,7 +155,7 @@
 			return requestEnd.endedBy() ?? 'deadline';
 		}
 
-		return maySendOn() ? undefined : 'host_stopping';
+		return mayForward() ? undefined : 'host_stopping';
 	};
 
 	for (;;) {
@@ -193,7 +193,7 @@
 		});
 		const step = await settleStep(next);
 		if (step === 'give_up') {
-			return giveUp(reasonOf(end, next, maySendOn()));
+			return giveUp(reasonOf(end, next, mayForward()));
 		}
 
 		if (end.type === 'streamed') {
--- a/packages/entry/src/lib/request/serve-request.ts
+++ b/packages/entry/src/lib/request/serve-request.ts
@@ -1,16 +1,16 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {admitRequest} from '../admission/admit-request.js';
 import {hostRefusals} from '../admission/host-refusals.js';
-import {isGivenUp} from '../admission/is-given-up.js';
+import {isAbandonedByCaller} from '../admission/is-abandoned-by-caller.js';
 import {readBody} from '../admission/read-body.js';
 import {secondsUntil} from '../admission/seconds-until.js';
-import {mayRunAgain} from '../admission/may-run-again.js';
+import {isRetryable} from '../admission/is-retryable.js';
 import {chargeOfResult} from './charge-of-result.js';
 import {costOfRequest} from './cost-of-request.js';
 import {createFingerprint} from './create-fingerprint.js';
 import {createRequestLog} from './create-request-log.js';
 import {createReservation} from './create-reservation.js';
-import type {HostServices} from './host-services.js';
+import type {HostContext} from './host-context.js';
 import type {RequestInputs} from './request-inputs.js';
 import type {RequestLog} from './request-log.js';
 import {refusalOfResult} from './refusal-of-result.js';
@@ -20,10 +20,10 @@
 type Received = Omit<RequestInputs, 'reserveRun'>;
 
 /** Serves a request whose body is here: reserves its worst case, runs it, charges what it cost, and logs its end. */
-const serveReceived = async (received: Received, requestLog: RequestLog, host: HostServices): Promise<void> => {
+const serveReceived = async (received: Received, requestLog: RequestLog, host: HostContext): Promise<void> => {
 	const {admitted} = received;
 	const {budget, worstCase, repeatCost} = costOfRequest(admitted);
-	if (!host.maySendOn(admitted.deadline)) {
+	if (!host.mayForward(admitted.deadline)) {
 		requestLog.refused(hostRefusals.hostStopping, {route: admitted.route.name, budget});
 		return;
 	}
@@ -64,7 +64,7 @@
 Serves one request of a caller, from its head to its final answer: admission, the host's own load, the body, rights, and
 the run at endpoints. Whatever refuses it does so at once.
 */
-export const serveRequest = async (req: IncomingMessage, res: ServerResponse, host: HostServices): Promise<void> => {
+export const serveRequest = async (req: IncomingMessage, res: ServerResponse, host: HostContext): Promise<void> => {
 	const waitedMs = host.waitedMs(res);
 	const receivedAt = host.now() - waitedMs;
 	const id = String(req.headers[host.headerNames.requestId] ?? '');
@@ -77,8 +77,8 @@
 	}
 
 	const {route, deadline} = admitted.value;
-	const isUnread = isGivenUp({
-		waitedMs, callerMs: deadline - receivedAt, mayRunAgain: mayRunAgain(route), patience: host.unreadPatience,
+	const isUnread = isAbandonedByCaller({
+		waitedMs, callerMs: deadline - receivedAt, isRetryable: isRetryable(route), unreadTimeout: host.unreadTimeout,
 	});
 	if (isUnread || host.isShedding()) {
 		req.resume();
--- a/packages/entry/src/start-entry-host.ts
+++ b/packages/entry/src/start-entry-host.ts
@@ -12,18 +12,18 @@
 import {createCallerConnections} from './lib/host/create-caller-connections.js';
 import {createRequestCounter} from './lib/host/create-request-counter.js';
 import {createRetryLimiter} from './lib/host/create-retry-limiter.js';
-import {maySendOn} from './lib/host/may-send-on.js';
-import {newHolder} from './lib/host/new-holder.js';
-import {planStop} from './lib/host/plan-stop.js';
-import {runPlannedStop} from './lib/host/run-planned-stop.js';
+import {mayForward} from './lib/host/may-forward.js';
+import {newHolderName} from './lib/host/new-holder-name.js';
+import {planShutdown} from './lib/host/plan-shutdown.js';
+import {runShutdown} from './lib/host/run-shutdown.js';
 import {scheduleByTimer} from './lib/host/schedule-by-timer.js';
 import {startHealthWatch} from './lib/host/start-health-watch.js';
 import {startServers} from './lib/host/start-servers.js';
 import {startPeerTasks} from './lib/host/start-peer-tasks.js';
-import type {StopPlan} from './lib/host/stop-plan.js';
+import type {ShutdownPlan} from './lib/host/shutdown-plan.js';
 import {createAcceptWatch} from './lib/own-health/create-accept-watch.js';
 import {createWaitLog} from './lib/own-health/create-wait-log.js';
-import type {HostServices} from './lib/request/host-services.js';
+import type {HostContext} from './lib/request/host-context.js';
 import {serveRequest} from './lib/request/serve-request.js';
 import {createConnectionPool} from './lib/sending/create-connection-pool.js';
 
@@ -40,7 +40,7 @@
 export const startEntryHost = async (options: EntryHostOptions): Promise<EntryHost> => {
 	const {host, hall, listen, bounds, hasEvacuations = false, headers: headerNames, rightsStore, peers: directory, log} = options;
 	const {timeouts = defaultTimeouts, schedule = scheduleByTimer, now = monotonicMs, elapsed = now} = options;
-	const holder = newHolder(host);
+	const holder = newHolderName(host);
 	const open = createRequestCounter(now);
 	const pool = createConnectionPool(elapsed);
 	const peerTasks = startPeerTasks({
@@ -77,7 +77,7 @@
 			log('endpoints_listed', {count: used.length, leaving: used.filter(({isLeaving}) => isLeaving).length, unused});
 		},
 	});
-	let stop: StopPlan | undefined;
+	let stop: ShutdownPlan | undefined;
 	let stopped: Promise<void> | undefined;
 	const ending = new AbortController();
 	// Each open request listens to it; more than ten of them are no leak.
@@ -91,16 +91,16 @@
 	const closesAfter = (res: ServerResponse): boolean => isClosing() && connections.isLastOpen(res);
 
 	// Nothing is sent before it is known which halls are to get nothing.
-	const services: HostServices = {
+	const services: HostContext = {
 		config: () => evacuatedHalls === undefined ? undefined : config,
 		closesAfter,
 		isStopping: () => stop !== undefined,
-		ending: ending.signal,
-		maySendOn: deadline => maySendOn({stop, deadline, now: now()}),
+		shutdownSignal: ending.signal,
+		mayForward: deadline => mayForward({stop, deadline, now: now()}),
 		isOverloaded: lateness.isOverloaded,
 		isShedding: lateness.isShedding,
 		waitedMs: connections.waitedMs,
-		unreadPatience: bounds.unreadPatience,
+		unreadTimeout: bounds.unreadTimeout,
 		noteConnect: health.noteConnect,
 		headerNames,
 		chooser,
@@ -130,12 +130,12 @@
 	acceptWatch.start(servers.addresses.callers);
 	log('started', {holder, hall});
 
-	const runStop = async (plan: StopPlan): Promise<void> => {
+	const runStop = async (plan: ShutdownPlan): Promise<void> => {
 		stop = plan;
 		const cancelCut = schedule(plan.cutBy - now(), () => {
 			ending.abort();
 		});
-		await runPlannedStop({
+		await runShutdown({
 			servers,
 			rights,
 			open,
@@ -196,7 +196,7 @@
 			await peerTasks.close();
 		},
 		async stop() {
-			stopped ??= runStop(planStop(now(), bounds.stopGraceMs));
+			stopped ??= runStop(planShutdown(now(), bounds.stopGraceMs));
 			await stopped;
 		},
 	};
--- a/packages/entry/src/test/accept-watch.test.ts
+++ b/packages/entry/src/test/accept-watch.test.ts
@@ -14,7 +14,7 @@
 import {once} from 'node:events';
 import test from 'ava';
 import {listenAt} from '@deckwheel/host-kit';
-import {isGivenUp} from '../lib/admission/is-given-up.js';
+import {isAbandonedByCaller} from '../lib/admission/is-abandoned-by-caller.js';
 import {createCallerConnections} from '../lib/host/create-caller-connections.js';
 import {createAcceptWatch} from '../lib/own-health/create-accept-watch.js';
 
@@ -101,14 +101,14 @@
 	t.deepEqual(await readRequests(t, [waitMs + 1]), [0]);
 });
 
-const patience = {ms: 1000, share: 1 / 3};
+const unreadTimeout = {ms: 1000, share: 1 / 3};
 
 test('callers give up what may be sent again once it is unread for their patience', t => {
-	const long = {callerMs: 10_000, mayRunAgain: true, patience};
-	t.false(isGivenUp({...long, waitedMs: 999}));
-	t.true(isGivenUp({...long, waitedMs: 1000}));
-	t.true(isGivenUp({...long, callerMs: 900, waitedMs: 300}));
-	t.false(isGivenUp({...long, callerMs: 900, waitedMs: 299}));
-	t.false(isGivenUp({...long, mayRunAgain: false, waitedMs: 5000}), 'what may run once is waited for');
-	t.false(isGivenUp({...long, patience: undefined, waitedMs: 5000}));
+	const long = {callerMs: 10_000, isRetryable: true, unreadTimeout};
+	t.false(isAbandonedByCaller({...long, waitedMs: 999}));
+	t.true(isAbandonedByCaller({...long, waitedMs: 1000}));
+	t.true(isAbandonedByCaller({...long, callerMs: 900, waitedMs: 300}));
+	t.false(isAbandonedByCaller({...long, callerMs: 900, waitedMs: 299}));
+	t.false(isAbandonedByCaller({...long, isRetryable: false, waitedMs: 5000}), 'what may run once is waited for');
+	t.false(isAbandonedByCaller({...long, unreadTimeout: undefined, waitedMs: 5000}));
 });
--- a/packages/entry/src/test/cold-endpoint.test.ts
+++ b/packages/entry/src/test/cold-endpoint.test.ts
@@ -3,7 +3,7 @@
 
 Order of events: all endpoints of a service are cold, as after a loss of power; every host has requests for them. Cause of what could
 follow: each host knows what it sends itself, and none what the others send, so that what each may think little is too much together.
-Evidence: with the rule taken out of `findClosure`, all 60 requests of six hosts reach the endpoint, which falls over at the 15th.
+Evidence: with the rule taken out of `findExclusion`, all 60 requests of six hosts reach the endpoint, which falls over at the 15th.
 */
 import test from 'ava';
 import type {ListedPeer} from '../adapter/listed-peer.js';
--- a/packages/entry/src/test/create-endpoint-chooser.test.ts
+++ b/packages/entry/src/test/create-endpoint-chooser.test.ts
@@ -17,7 +17,7 @@
 	const chooser = createEndpointChooser({hall: 'a', isLost: hall => hall === lost, now: () => 0});
 	chooser.list([endpoint('near', 'a'), endpoint('far', 'b')]);
 	for (let i = 0; i < 5; i++) {
-		chooser.started('near', []);
+		chooser.noteStarted('near', []);
 	}
 
 	t.is(chooser.choose(ask([], [], []))?.endpoint.id, 'far');
@@ -36,10 +36,10 @@
 	const chooser = createEndpointChooser({hall: 'a', isLost: () => false, now: () => 0});
 	chooser.list(names.map(name => lifeOf(name, 1)));
 	const preferred = chooser.choose(ask(prompt, [], []))!.endpoint;
-	chooser.started(preferred.id, prompt);
+	chooser.noteStarted(preferred.id, prompt);
 	// Read elsewhere once as well: that it is held there is known from this host's own send only.
 	const other = chooser.choose(ask(prompt, [preferred.id], []))!.endpoint;
-	chooser.started(other.id, prompt);
+	chooser.noteStarted(other.id, prompt);
 	chooser.list(names.map(name => lifeOf(name, name === other.instance ? 2 : 1)));
 	t.regex(chooser.choose(ask(prompt, [preferred.id], []))!.reason, / cached=0\//);
 });
--- a/packages/entry/src/test/create-store-changes.test.ts
+++ b/packages/entry/src/test/create-store-changes.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {fail, succeed, type Outcome} from '@deckwheel/core';
+import {fail, succeed, type Result} from '@deckwheel/core';
 import type {LinkError} from '@deckwheel/mesh';
 import type {ListedPeer} from '../adapter/listed-peer.js';
 import {createChangeBoard} from '../lib/store-changes/create-change-board.js';
@@ -7,7 +7,7 @@
 
 const hall: readonly ListedPeer[] = Array.from({length: 6}, (_, index) => ({holder: `edge-${index}#a`, address: `10.0.0.${index}:1`, hall: 'h'}));
 
-const changesOf = (holder: string, reply: Outcome<unknown, LinkError>) => {
+const changesOf = (holder: string, reply: Result<unknown, LinkError>) => {
 	const suspected: string[] = [];
 	const asked: string[] = [];
 	const changes = createStoreChanges({
--- a/packages/entry/src/test/evacuated-halls.test.ts
+++ b/packages/entry/src/test/evacuated-halls.test.ts
@@ -5,7 +5,7 @@
 Order of events: the order stands in the store; each host goes on choosing endpoints of that hall.
 
 Cause: no host read such orders, and no rule of the choice knew of them, of warm-ups or of regions. Evidence: with the
-rule taken out of `findClosure`, 20 of 20 requests go to the evacuated hall, the nearer one.
+rule taken out of `findExclusion`, 20 of 20 requests go to the evacuated hall, the nearer one.
 */
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import test from 'ava';
--- a/packages/entry/src/test/run-planned-stop.test.ts
+++ b/packages/entry/src/test/run-shutdown.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {runPlannedStop} from '../lib/host/run-planned-stop.js';
+import {runShutdown} from '../lib/host/run-shutdown.js';
 
 // On a played day a caller's connection came 4.3 s after the signal to stop, while the host gave back its last rights. The request
 // was read and sent to an endpoint, and the process ended 2 ms later.
@@ -15,7 +15,7 @@
 		}
 	};
 
-	await runPlannedStop({
+	await runShutdown({
 		servers: {
 			closeIdleConnections: arrive,
 			stopListening() {
@@ -54,7 +54,7 @@
 		steps.push(name);
 	};
 
-	await runPlannedStop({
+	await runShutdown({
 		servers: {closeIdleConnections: () => undefined, stopListening: () => undefined},
 		rights: {retire: step('retire')},
 		open: {count: () => 1, untilNone: step('wait')},
@@ -77,7 +77,7 @@
 		steps.push(`${name} ${isListening ? 'listening' : 'closed'}`);
 	};
 
-	await runPlannedStop({
+	await runShutdown({
 		servers: {
 			closeIdleConnections: () => undefined,
 			stopListening() {
--- a/packages/entry/src/test/send-attempt.test.ts
+++ b/packages/entry/src/test/send-attempt.test.ts
@@ -2,7 +2,7 @@
 import {createServer, type AddressInfo, type Socket} from 'node:net';
 import test from 'ava';
 import {createConnectionPool} from '../lib/sending/create-connection-pool.js';
-import {readAnswer} from '../lib/relaying/read-answer.js';
+import {readResponseBody} from '../lib/relaying/read-response-body.js';
 import {sendAttempt} from '../lib/sending/send-attempt.js';
 import {judgeEndpoint} from '../lib/request/judge-endpoint.js';
 import {headerNames} from './lib/header-names.js';
@@ -46,7 +46,7 @@
 	server.close();
 	t.is(result.type, 'answered');
 	if (result.type === 'answered') {
-		const answer = readAnswer(result.response);
+		const answer = readResponseBody(result.response);
 		await once(result.response, 'data');
 		reset();
 		t.is(await answer, undefined);
@@ -61,7 +61,7 @@
 	});
 	const result = await send(`127.0.0.1:${(server.address() as AddressInfo).port}`);
 	server.close();
-	t.is(result.type === 'answered' ? await readAnswer(result.response) : undefined, undefined);
+	t.is(result.type === 'answered' ? await readResponseBody(result.response) : undefined, undefined);
 });
 
 test('an answer without a length ends whole with its connection', async t => {
@@ -72,7 +72,7 @@
 	server.close();
 	t.is(result.type, 'answered');
 	if (result.type === 'answered') {
-		const answer = await readAnswer(result.response);
+		const answer = await readResponseBody(result.response);
 		t.is(new TextDecoder().decode(answer), 'all');
 	}
 });
--- a/packages/entry/src/test/stop-and-rights.test.ts
+++ b/packages/entry/src/test/stop-and-rights.test.ts
@@ -1,6 +1,6 @@
 /**
 The story. A host that stops gives its rights back where it ceases to listen, and draws nothing more. What it may still send on by
-`maySendOn` needs rights all the same.
+`mayForward` needs rights all the same.
 
 The evidence. A request that must end before the stop does was refused for want of rights (429, come back in 2 s), though the budget
 has plenty and another host would take it at once.
--- a/packages/entry/src/test/unread-request.test.ts
+++ b/packages/entry/src/test/unread-request.test.ts
@@ -5,7 +5,7 @@
 import {createServer} from 'node:http';
 import test from 'ava';
 import {listenAt} from '@deckwheel/host-kit';
-import type {HostServices} from '../lib/request/host-services.js';
+import type {HostContext} from '../lib/request/host-context.js';
 import {serveRequest} from '../lib/request/serve-request.js';
 import {callHost} from './lib/call-host.js';
 import {headerNames} from './lib/header-names.js';
@@ -22,14 +22,14 @@
 		log: () => undefined,
 		closesAfter: () => false,
 		waitedMs: () => waitedMs,
-		unreadPatience: {ms: 1000, share: 1 / 3},
+		unreadTimeout: {ms: 1000, share: 1 / 3},
 		isShedding: () => false,
 		retries: {noteRequest: () => undefined},
-		maySendOn(deadline: number) {
+		mayForward(deadline: number) {
 			sent.push(deadline);
 			return false;
 		},
-	} as unknown as HostServices;
+	} as unknown as HostContext;
 	const server = createServer((req, res) => {
 		void serveRequest(req, res, host);
 	});
--- a/packages/host-kit/src/create-tally.ts
+++ b/packages/host-kit/src/create-event-counter.ts
@@ -1,5 +1,5 @@
 import type {LogFields} from './log-fields.js';
-import type {Tally} from './tally.js';
+import type {EventCounter} from './event-counter.js';
 
 /** How often the counts are logged, in ms: often enough to see when something began, seldom enough to cost little. */
 const reportMs = 10_000;
@@ -9,7 +9,7 @@
 
 @param event The name of the line.
 */
-export const createTally = (event: string, log: (event: string, fields: LogFields) => void): Tally => {
+export const createEventCounter = (event: string, log: (event: string, fields: LogFields) => void): EventCounter => {
 	let counts: Record<string, number> = {};
 	const timer = setInterval(() => {
 		if (Object.keys(counts).length > 0) {
@@ -20,10 +20,10 @@
 	timer.unref();
 
 	return {
-		count(name) {
+		increment(name) {
 			counts[name] = (counts[name] ?? 0) + 1;
 		},
-		keepMost(name, value) {
+		recordMax(name, value) {
 			counts[name] = Math.max(counts[name] ?? 0, value);
 		},
 	};
--- a/packages/host-kit/src/read-settings.ts
+++ b/packages/host-kit/src/read-settings.ts
@@ -1,16 +1,16 @@
 import {readFileSync} from 'node:fs';
 import {
-	fail, findFaults, succeed, type Fault, type Outcome,
+	fail, findValidationIssues, succeed, type ValidationIssue, type Result,
 } from '@deckwheel/core';
 
 /** A schema of zod, as far as it is used here. */
 type Schema<T> = {
 	readonly safeParse: (value: unknown) =>
 		| {readonly success: true; readonly data: T}
-		| {readonly success: false; readonly error: Parameters<typeof findFaults>[0]};
+		| {readonly success: false; readonly error: Parameters<typeof findValidationIssues>[0]};
 };
 
-const readDocument = (path: string): Outcome<unknown, Fault> => {
+const readDocument = (path: string): Result<unknown, ValidationIssue> => {
 	try {
 		return succeed(JSON.parse(readFileSync(path, 'utf8')));
 	} catch (error) {
@@ -19,12 +19,12 @@
 };
 
 /** Reads and checks a settings file. On failure, every fault with its path. */
-export const readSettings = <T>(path: string, schema: Schema<T>): Outcome<T, readonly Fault[]> => {
+export const readSettings = <T>(path: string, schema: Schema<T>): Result<T, readonly ValidationIssue[]> => {
 	const document = readDocument(path);
 	if (!document.ok) {
 		return fail([document.error]);
 	}
 
 	const parsed = schema.safeParse(document.value);
-	return parsed.success ? succeed(parsed.data) : fail(findFaults(parsed.error));
+	return parsed.success ? succeed(parsed.data) : fail(findValidationIssues(parsed.error));
 };
--- a/packages/lab/src/slopes.ts
+++ b/packages/lab/src/slopes.ts
@@ -6,7 +6,7 @@
 	applyOp, decide, emptyLedger, newReplica, planDraw, planPair, stepReplica, type Ledger, type Replica, type ReplicaEvent, type ReplicaMessage, type RightsObject, type SlotRequest,
 } from '@deckwheel/ledger';
 import {
-	rateByCost, stepEndpoints, chooseEndpoint, type EndpointTable,
+	scoreByCost, stepEndpoints, chooseEndpoint, type EndpointTable,
 } from '@deckwheel/routing';
 import {testKeys} from './lib/test-keys.js';
 
@@ -197,7 +197,7 @@
 	const cpu = spread(() => timePer(500, () => {
 		chooseEndpoint(table, {
 			target: 'm', hall: 'hall-a', priority: 'quick', quickShare: 0, cachedTokens: () => 0, promptTokens: 100, tried: [],
-		}, 1, rateByCost);
+		}, 1, scoreByCost);
 	}));
 	show('choice among 125 endpoints', {cpu_us: cpu.median, least_us: cpu.least, most_us: cpu.most});
 	const status = {
--- a/packages/mesh/src/lib/create-pending-requests.ts
+++ b/packages/mesh/src/lib/create-pending-requests.ts
@@ -1,14 +1,14 @@
-import {fail, type Outcome} from '@deckwheel/core';
+import {fail, type Result} from '@deckwheel/core';
 import type {LinkError} from '../link-error.js';
 
-type Settle = (outcome: Outcome<unknown, LinkError>) => void;
+type Settle = (outcome: Result<unknown, LinkError>) => void;
 
 /** The requests of one connection that wait for their replies. */
 type PendingRequests = {
 	/** Adds a request; `send` gets its id. It ends as `unknown` when no reply came in time. */
-	readonly add: (timeoutMs: number, send: (id: number) => void) => Promise<Outcome<unknown, LinkError>>;
+	readonly add: (timeoutMs: number, send: (id: number) => void) => Promise<Result<unknown, LinkError>>;
 	/** Ends a request. One that is over already is left alone. */
-	readonly settle: (id: number, outcome: Outcome<unknown, LinkError>) => void;
+	readonly settle: (id: number, outcome: Result<unknown, LinkError>) => void;
 	readonly failAll: (error: LinkError) => void;
 };
 
@@ -17,7 +17,7 @@
 	const pending = new Map<number, Settle>();
 	let nextId = 1;
 
-	const settle = (id: number, outcome: Outcome<unknown, LinkError>): void => {
+	const settle = (id: number, outcome: Result<unknown, LinkError>): void => {
 		const settleOne = pending.get(id);
 		pending.delete(id);
 		settleOne?.(outcome);
--- a/packages/mesh/src/mesh.ts
+++ b/packages/mesh/src/mesh.ts
@@ -1,4 +1,4 @@
-import type {Outcome} from '@deckwheel/core';
+import type {Result} from '@deckwheel/core';
 import type {LinkError} from './link-error.js';
 
 /** A host's links to its peers. Links are dialled when first used, and again after they broke. */
@@ -11,7 +11,7 @@
 	@param address The peer's `ip:port`.
 	@param timeoutMs Given up on after this; the peer may have acted.
 	*/
-	readonly request: (address: string, body: unknown, timeoutMs: number) => Promise<Outcome<unknown, LinkError>>;
+	readonly request: (address: string, body: unknown, timeoutMs: number) => Promise<Result<unknown, LinkError>>;
 	/** Sends a message that gets no reply. Messages to one peer arrive in order, or not at all. */
 	readonly send: (address: string, body: unknown) => void;
 	/** How long ago the last bytes of a peer came over its link, in ms; `undefined` without a link. */
--- a/packages/routing/src/endpoints/choose-endpoint.ts
+++ b/packages/routing/src/endpoints/choose-endpoint.ts
@@ -1,13 +1,13 @@
-import type {RateEndpoint} from '../ratings/rate-endpoint.js';
-import type {RatedEndpoint} from '../ratings/rated-endpoint.js';
+import type {ScoreEndpoint} from '../scoring/score-endpoint.js';
+import type {ScoredEndpoint} from '../scoring/scored-endpoint.js';
 import type {EndpointTable} from './endpoint-table.js';
 import type {EndpointChoice} from './endpoint-choice.js';
 import type {EndpointRequest} from './endpoint-request.js';
-import {findClosure} from './find-closure.js';
+import {findExclusion} from './find-exclusion.js';
 
-const isBetter = (a: RatedEndpoint, b: RatedEndpoint): boolean => {
-	if (a.hasRoom !== b.hasRoom) {
-		return a.hasRoom;
+const isBetter = (a: ScoredEndpoint, b: ScoredEndpoint): boolean => {
+	if (a.hasCapacity !== b.hasCapacity) {
+		return a.hasCapacity;
 	}
 
 	return a.cost === b.cost ? a.endpoint < b.endpoint : a.cost < b.cost;
@@ -17,14 +17,14 @@
 Chooses the endpoint with the least expected cost, or `undefined` when none can serve the request.
 
 An endpoint with room is preferred to one without. Left out are endpoints that this request tried, and those that are closed
-to it (`findClosure`). `deckwheeld` rates by `rateByCost`, the entry host on a platform by `rateByAffinity`.
+to it (`findExclusion`). `deckwheeld` rates by `scoreByCost`, the entry host on a platform by `scoreByAffinity`.
 
 @param now Monotonic ms.
 */
-export const chooseEndpoint = <R extends EndpointRequest>(table: EndpointTable, request: R, now: number, rate: RateEndpoint<R>): EndpointChoice | undefined => {
-	let best: RatedEndpoint | undefined;
+export const chooseEndpoint = <R extends EndpointRequest>(table: EndpointTable, request: R, now: number, rate: ScoreEndpoint<R>): EndpointChoice | undefined => {
+	let best: ScoredEndpoint | undefined;
 	for (const state of table.values()) {
-		if (request.tried.includes(state.info.id) || findClosure(state, request, now)) {
+		if (request.tried.includes(state.info.id) || findExclusion(state, request, now)) {
 			continue;
 		}
 
@@ -35,6 +35,6 @@
 	}
 
 	return best && {
-		endpoint: best.endpoint, reason: best.reason(), hasRoom: best.hasRoom,
+		endpoint: best.endpoint, reason: best.reason(), hasCapacity: best.hasCapacity,
 	};
 };
--- a/packages/routing/src/endpoints/endpoint-choice.ts
+++ b/packages/routing/src/endpoints/endpoint-choice.ts
@@ -4,5 +4,5 @@
 	/** One line of key=value pairs, for logs and `deckwheel explain`. */
 	readonly reason: string;
 	/** Whether the endpoint can take it now; if not, the request should wait at this host. */
-	readonly hasRoom: boolean;
+	readonly hasCapacity: boolean;
 };
--- a/packages/routing/src/endpoints/endpoint-closure.ts
+++ b/packages/routing/src/endpoints/endpoint-exclusion.ts
@@ -1,5 +1,5 @@
 /** Why an endpoint may not be sent a request. */
-export type EndpointClosure = {
+export type EndpointExclusion = {
 	readonly reason:
 		/** It is no longer listed. */
 		| 'unlisted'
--- a/packages/routing/src/endpoints/endpoint-request.ts
+++ b/packages/routing/src/endpoints/endpoint-request.ts
@@ -7,7 +7,7 @@
 	/** The hall that the request came in at. */
 	readonly hall: string;
 	/** Halls that the host cannot reach now. */
-	readonly lostHalls?: ReadonlySet<string>;
+	readonly unreachableHalls?: ReadonlySet<string>;
 	/** Endpoints that were tried already. */
 	readonly tried: readonly string[];
 	/** Halls whose endpoints are to get nothing, by order of the operators. */
--- a/packages/routing/src/endpoints/endpoint-state.ts
+++ b/packages/routing/src/endpoints/endpoint-state.ts
@@ -10,11 +10,11 @@
 	/** When it was last listed, in monotonic ms. */
 	readonly listedAt: number;
 	/** Whether it said itself that it leaves. A list may be older than its word, so none takes this back; its next life has another identifier. */
-	readonly hasSaidLeaving: boolean;
+	readonly hasAnnouncedLeaving: boolean;
 	/** Monotonic ms until which it wants no request of this host; 0 when it never asked for rest. */
-	readonly restUntil: number;
+	readonly backoffUntil: number;
 	/** Monotonic ms until which the permits of its limit on requests are used up for this host; 0 when they never were. */
-	readonly limitedUntil: number;
+	readonly rateLimitedUntil: number;
 	/** This host's own open requests there: the one figure that does not lag. */
 	readonly inFlight: number;
 	/** Requests that this host ever sent there. */
--- a/packages/routing/src/endpoints/find-closure.ts
+++ b/packages/routing/src/endpoints/find-exclusion.ts
@@ -1,5 +1,5 @@
 import {coldSpacingMs} from './cold-spacing-ms.js';
-import type {EndpointClosure} from './endpoint-closure.js';
+import type {EndpointExclusion} from './endpoint-exclusion.js';
 import type {EndpointRequest} from './endpoint-request.js';
 import type {EndpointState} from './endpoint-state.js';
 import {warmAt} from './warm-at.js';
@@ -10,7 +10,7 @@
 const isInRegions = ({region}: EndpointState['info'], regions: EndpointRequest['regions'] = []): boolean =>
 	regions.every(allowed => region !== undefined && allowed.includes(region));
 
-const findColdClosure = (state: EndpointState, warmup: Inputs['warmup'], now: number): EndpointClosure | undefined => {
+const findColdClosure = (state: EndpointState, warmup: Inputs['warmup'], now: number): EndpointExclusion | undefined => {
 	const until = warmup ? warmAt(state, warmup) : 0;
 	if (!warmup || until <= now) {
 		return undefined;
@@ -35,8 +35,8 @@
 
 @param now Monotonic ms.
 */
-export const findClosure = (state: EndpointState, request: Inputs, now: number): EndpointClosure | undefined => {
-	const {info, isListed, ejectedUntil, restUntil, limitedUntil} = state;
+export const findExclusion = (state: EndpointState, request: Inputs, now: number): EndpointExclusion | undefined => {
+	const {info, isListed, ejectedUntil, backoffUntil, rateLimitedUntil} = state;
 	if (!isListed) {
 		return {reason: 'unlisted'};
 	}
@@ -57,7 +57,7 @@
 		return {reason: 'other_region'};
 	}
 
-	if (info.hall !== request.hall && request.lostHalls?.has(info.hall)) {
+	if (info.hall !== request.hall && request.unreachableHalls?.has(info.hall)) {
 		return {reason: 'out_of_reach'};
 	}
 
@@ -65,12 +65,12 @@
 		return {reason: 'ejected'};
 	}
 
-	if (restUntil > now) {
-		return {reason: 'resting', until: restUntil};
+	if (backoffUntil > now) {
+		return {reason: 'resting', until: backoffUntil};
 	}
 
-	if (limitedUntil > now) {
-		return {reason: 'limited', until: limitedUntil};
+	if (rateLimitedUntil > now) {
+		return {reason: 'limited', until: rateLimitedUntil};
 	}
 
 	return findColdClosure(state, request.warmup, now);
--- a/packages/routing/src/endpoints/step-endpoints.ts
+++ b/packages/routing/src/endpoints/step-endpoints.ts
@@ -29,9 +29,9 @@
 	info,
 	isListed: true,
 	listedAt: now,
-	hasSaidLeaving: false,
-	restUntil: 0,
-	limitedUntil: 0,
+	hasAnnouncedLeaving: false,
+	backoffUntil: 0,
+	rateLimitedUntil: 0,
 	inFlight: 0,
 	started: 0,
 	lastStartedAt: now,
@@ -64,11 +64,11 @@
 });
 
 const listed = (state: EndpointState, info: EndpointInfo, now: number): EndpointState => ({
-	...state, info: {...info, isLeaving: info.isLeaving || state.hasSaidLeaving}, isListed: true, listedAt: now,
+	...state, info: {...info, isLeaving: info.isLeaving || state.hasAnnouncedLeaving}, isListed: true, listedAt: now,
 });
 
-const isRemembered = ({isListed, inFlight, hasSaidLeaving, listedAt, restUntil}: EndpointState, now: number): boolean =>
-	isListed || inFlight > 0 || restUntil > now || (hasSaidLeaving && now - listedAt < leavingMemoryMs);
+const isRemembered = ({isListed, inFlight, hasAnnouncedLeaving, listedAt, backoffUntil}: EndpointState, now: number): boolean =>
+	isListed || inFlight > 0 || backoffUntil > now || (hasAnnouncedLeaving && now - listedAt < leavingMemoryMs);
 
 // Requests that were open when a list came without the endpoint are still to end, and it may be listed again before that.
 const afterList = (table: EndpointTable, endpoints: readonly EndpointInfo[], now: number): EndpointTable => {
@@ -105,15 +105,15 @@
 		}
 
 		case 'leaving': {
-			return {...state, info: {...state.info, isLeaving: true}, hasSaidLeaving: true};
+			return {...state, info: {...state.info, isLeaving: true}, hasAnnouncedLeaving: true};
 		}
 
 		case 'rest_asked': {
-			return {...state, restUntil: Math.max(state.restUntil, event.until)};
+			return {...state, backoffUntil: Math.max(state.backoffUntil, event.until)};
 		}
 
 		case 'limited': {
-			return {...state, limitedUntil: event.until};
+			return {...state, rateLimitedUntil: event.until};
 		}
 
 		case 'abandoned': {
--- a/packages/routing/src/lib/expected-start.ts
+++ b/packages/routing/src/lib/expected-start.ts
@@ -1,10 +1,10 @@
-import type {WaitingRequest} from '../waiting-room/waiting-request.js';
-import type {WaitingRoom} from '../waiting-room/waiting-room.js';
+import type {QueuedRequest} from '../request-queue/queued-request.js';
+import type {QueueState} from '../request-queue/queue-state.js';
 
 const order = {quick: 0, normal: 1, slow: 2} as const;
 
 /** When a request will start, judged by those before it and the rate at which requests start. Monotonic ms. */
-export const expectedStart = ({waiting, msPerStart}: WaitingRoom, request: WaitingRequest, now: number): number => {
+export const expectedStart = ({waiting, msPerStart}: QueueState, request: QueuedRequest, now: number): number => {
 	const ahead = waiting.filter(({id, priority}) => order[priority] < order[request.priority] || (priority === request.priority && id < request.id));
 	return now + (ahead.length * msPerStart);
 };
--- a/packages/routing/src/waiting-room/leave-waiting-room.ts
+++ b/packages/routing/src/request-queue/dequeue-request.ts
@@ -1,10 +1,10 @@
 import {smooth} from '../lib/smooth.js';
 import type {Priority} from './priority.js';
-import type {WaitingRequest} from './waiting-request.js';
-import type {WaitingRoom} from './waiting-room.js';
+import type {QueuedRequest} from './queued-request.js';
+import type {QueueState} from './queue-state.js';
 
 /** The next request to start, if any may. */
-type Exit = {readonly room: WaitingRoom; readonly next?: WaitingRequest};
+type Exit = {readonly queue: QueueState; readonly next?: QueuedRequest};
 
 /** How often each priority is served when all wait. Slow work goes on under any load of quick work. */
 const turns: Readonly<Record<Priority, number>> = {quick: 16, normal: 4, slow: 1};
@@ -13,7 +13,7 @@
 const longestGapMs = 1000;
 const priorities = ['quick', 'normal', 'slow'] as const;
 
-const pickPriority = (room: WaitingRoom, ready: readonly WaitingRequest[]) => {
+const pickPriority = (room: QueueState, ready: readonly QueuedRequest[]) => {
 	const present = priorities.filter(priority => ready.some(request => request.priority === priority));
 	const total = present.reduce((sum, priority) => sum + turns[priority], 0);
 	const credit = {...room.credit};
@@ -26,14 +26,14 @@
 	return {chosen: chosen!, credit};
 };
 
-const servedBy = (room: WaitingRoom, organisation: string): number => room.served.get(organisation) ?? 0;
+const servedBy = (room: QueueState, organisation: string): number => room.served.get(organisation) ?? 0;
 
-const pickRequest = (room: WaitingRoom, ready: readonly WaitingRequest[]): WaitingRequest =>
+const pickRequest = (room: QueueState, ready: readonly QueuedRequest[]): QueuedRequest =>
 	ready.toSorted((a, b) =>
 		servedBy(room, a.organisation) - servedBy(room, b.organisation) || a.startBy - b.startBy)[0]!;
 
 // An organisation that was away must not come back with a claim on all the service it missed.
-const chargeOrganisation = (room: WaitingRoom, request: WaitingRequest): ReadonlyMap<string, number> => {
+const chargeOrganisation = (room: QueueState, request: QueuedRequest): ReadonlyMap<string, number> => {
 	const present = new Set(room.waiting.map(({organisation}) => organisation));
 	const lowest = Math.min(...[...present].map(organisation => servedBy(room, organisation)));
 	const kept = [...room.served].filter(([organisation]) => present.has(organisation));
@@ -44,13 +44,13 @@
 Takes the next request out of the queue: by priority in turns, then by fair share
 of the organisations, then the one that must start first.
 
-@param hasRoom Whether an endpoint can take the request now.
+@param canStart Whether an endpoint can take the request now.
 @param now Monotonic ms.
 */
-export const leaveWaitingRoom = (room: WaitingRoom, hasRoom: (request: WaitingRequest) => boolean, now: number): Exit => {
-	const ready = room.waiting.filter(request => hasRoom(request));
+export const dequeueRequest = (room: QueueState, canStart: (request: QueuedRequest) => boolean, now: number): Exit => {
+	const ready = room.waiting.filter(request => canStart(request));
 	if (ready.length === 0) {
-		return {room};
+		return {queue: room};
 	}
 
 	const {chosen, credit} = pickPriority(room, ready);
@@ -59,7 +59,7 @@
 	const sinceLast = Math.min(longestGapMs, now - room.lastStartAt);
 	return {
 		next,
-		room: {
+		queue: {
 			...room,
 			waiting,
 			credit,
--- a/packages/routing/src/waiting-room/empty-waiting-room.ts
+++ b/packages/routing/src/request-queue/empty-request-queue.ts
@@ -1,7 +1,7 @@
-import type {WaitingRoom} from './waiting-room.js';
+import type {QueueState} from './queue-state.js';
 
 /** A queue in which nobody waits. */
-export const emptyWaitingRoom: WaitingRoom = {
+export const emptyRequestQueue: QueueState = {
 	waiting: [],
 	served: new Map(),
 	credit: {quick: 0, normal: 0, slow: 0},
--- a/packages/routing/src/waiting-room/enter-waiting-room.ts
+++ b/packages/routing/src/request-queue/enqueue-request.ts
@@ -1,10 +1,10 @@
 import {expectedStart} from '../lib/expected-start.js';
 import type {Priority} from './priority.js';
-import type {WaitingRequest} from './waiting-request.js';
-import type {WaitingRoom} from './waiting-room.js';
+import type {QueuedRequest} from './queued-request.js';
+import type {QueueState} from './queue-state.js';
 
 /** What became of a request that wanted to wait. */
-type Entry = {readonly room: WaitingRoom; readonly isAdmitted: boolean};
+type Entry = {readonly queue: QueueState; readonly isAdmitted: boolean};
 
 /**
 The part of the places that each priority may fill. Places are kept for urgent work, so
@@ -13,10 +13,10 @@
 const shareOfPlaces: Readonly<Record<Priority, number>> = {quick: 1, normal: 0.75, slow: 0.5};
 
 /** Lets a request wait, if it can start in time and there is a place. Otherwise it is to be refused at once. */
-export const enterWaitingRoom = (room: WaitingRoom, request: WaitingRequest, limit: number, now: number): Entry => {
+export const enqueueRequest = (room: QueueState, request: QueuedRequest, limit: number, now: number): Entry => {
 	const isFull = room.waiting.length >= limit * shareOfPlaces[request.priority];
 	const isTooLate = expectedStart(room, request, now) > request.startBy;
 	return isFull || isTooLate
-		? {room, isAdmitted: false}
-		: {room: {...room, waiting: [...room.waiting, request]}, isAdmitted: true};
+		? {queue: room, isAdmitted: false}
+		: {queue: {...room, waiting: [...room.waiting, request]}, isAdmitted: true};
 };
--- a/packages/routing/src/waiting-room/waiting-room.ts
+++ b/packages/routing/src/request-queue/queue-state.ts
@@ -1,9 +1,9 @@
 import type {Priority} from './priority.js';
-import type {WaitingRequest} from './waiting-request.js';
+import type {QueuedRequest} from './queued-request.js';
 
 /** The bounded queue of a host. */
-export type WaitingRoom = {
-	readonly waiting: readonly WaitingRequest[];
+export type QueueState = {
+	readonly waiting: readonly QueuedRequest[];
 	/** Virtual service that each organisation has had, for fair shares. */
 	readonly served: ReadonlyMap<string, number>;
 	/** Smooth weighted round robin among priorities. */
--- a/packages/routing/src/waiting-room/waiting-request.ts
+++ b/packages/routing/src/request-queue/queued-request.ts
@@ -1,7 +1,7 @@
 import type {Priority} from './priority.js';
 
 /** A request that waits for an endpoint with room. */
-export type WaitingRequest = {
+export type QueuedRequest = {
 	readonly id: number;
 	/** The model or service that it asks for. */
 	readonly target: string;
--- a/packages/routing/src/retries/retry-window.ts
+++ b/packages/routing/src/retries/retry-window.ts
@@ -3,7 +3,7 @@
 	/** Monotonic ms at which the newer half began. */
 	readonly since: number;
 	readonly requests: number;
-	readonly repeats: number;
-	readonly earlierRequests: number;
-	readonly earlierRepeats: number;
+	readonly retries: number;
+	readonly previousRequests: number;
+	readonly previousRetries: number;
 };
--- a/packages/routing/src/retries/step-retry-window.ts
+++ b/packages/routing/src/retries/step-retry-window.ts
@@ -1,7 +1,7 @@
 import type {RetryWindow} from './retry-window.js';
 
 const emptyWindow: RetryWindow = {
-	since: 0, requests: 0, repeats: 0, earlierRequests: 0, earlierRepeats: 0,
+	since: 0, requests: 0, retries: 0, previousRequests: 0, previousRetries: 0,
 };
 
 const moveOn = (window: RetryWindow, windowMs: number, now: number): RetryWindow => {
@@ -12,7 +12,7 @@
 
 	return age < 2 * windowMs
 		? {
-			since: window.since + windowMs, requests: 0, repeats: 0, earlierRequests: window.requests, earlierRepeats: window.repeats,
+			since: window.since + windowMs, requests: 0, retries: 0, previousRequests: window.requests, previousRetries: window.retries,
 		}
 		: {...emptyWindow, since: now};
 };
@@ -39,7 +39,7 @@
 		return {window: {...window, requests: window.requests + 1}, isAllowed: true};
 	}
 
-	const allowed = retryRatio * Math.max(window.requests, window.earlierRequests);
-	const isAllowed = window.repeats + window.earlierRepeats + 1 <= allowed;
-	return {window: isAllowed ? {...window, repeats: window.repeats + 1} : window, isAllowed};
+	const allowed = retryRatio * Math.max(window.requests, window.previousRequests);
+	const isAllowed = window.retries + window.previousRetries + 1 <= allowed;
+	return {window: isAllowed ? {...window, retries: window.retries + 1} : window, isAllowed};
 };
--- a/packages/routing/src/ratings/affinity-request.ts
+++ b/packages/routing/src/scoring/affinity-request.ts
@@ -1,6 +1,6 @@
 import type {EndpointRequest} from '../endpoints/endpoint-request.js';
 
-/** What `rateByAffinity` weighs. */
+/** What `scoreByAffinity` weighs. */
 export type AffinityRequest = EndpointRequest & {
 	/** Prompt tokens that each endpoint is estimated to have cached. */
 	readonly cachedTokens: (endpoint: string) => number;
--- a/packages/routing/src/ratings/cost-request.ts
+++ b/packages/routing/src/scoring/cost-request.ts
@@ -1,7 +1,7 @@
 import type {EndpointRequest} from '../endpoints/endpoint-request.js';
-import type {Priority} from '../waiting-room/priority.js';
+import type {Priority} from '../request-queue/priority.js';
 
-/** What `rateByCost` weighs. */
+/** What `scoreByCost` weighs. */
 export type CostRequest = EndpointRequest & {
 	readonly priority: Priority;
 	/** The part of this host's work that has been quick lately, 0 to 1. */
--- a/packages/routing/src/ratings/rate-by-affinity.ts
+++ b/packages/routing/src/scoring/score-by-affinity.ts
@@ -1,7 +1,7 @@
 import {warmAt} from '../endpoints/warm-at.js';
 import type {EndpointState} from '../endpoints/endpoint-state.js';
 import {estimateLoad} from '../lib/estimate-load.js';
-import type {RateEndpoint} from './rate-endpoint.js';
+import type {ScoreEndpoint} from './score-endpoint.js';
 import type {AffinityRequest} from './affinity-request.js';
 
 /**
@@ -35,9 +35,9 @@
 
 /**
 Weighs the part of the prompt that must be read anew against the load. For many hosts that cannot ask each other: the entry
-host on a platform rates by this. `deckwheeld` polls its engines' load and rates by `rateByCost`.
+host on a platform rates by this. `deckwheeld` polls its engines' load and rates by `scoreByCost`.
 */
-export const rateByAffinity: RateEndpoint<AffinityRequest> = (state, request, now) => {
+export const scoreByAffinity: ScoreEndpoint<AffinityRequest> = (state, request, now) => {
 	const {info} = state;
 	const load = estimateLoad(state, now);
 	const cached = Math.min(request.promptTokens, request.cachedTokens(info.id));
@@ -48,7 +48,7 @@
 	return {
 		endpoint: info.id,
 		cost: readMs + waitMs + hallMs + coldMs,
-		hasRoom: load < info.slots && hallMs < avoidedHallMs,
+		hasCapacity: load < info.slots && hallMs < avoidedHallMs,
 		reason: () => `read_ms=${readMs.toFixed(0)} load=${load} cached=${cached}/${request.promptTokens} hall_ms=${hallMs} cold_ms=${coldMs}`,
 	};
 };
--- a/packages/routing/src/ratings/rate-by-cost.ts
+++ b/packages/routing/src/scoring/score-by-cost.ts
@@ -1,5 +1,5 @@
 import {estimateLoad} from '../lib/estimate-load.js';
-import type {RateEndpoint} from './rate-endpoint.js';
+import type {ScoreEndpoint} from './score-endpoint.js';
 import type {CostRequest} from './cost-request.js';
 
 /** What an endpoint of another hall costs more than its wait, in ms. */
@@ -24,7 +24,7 @@
 		: Math.max(1, slots + Math.ceil(slots * slackShare) - Math.floor(slots * quickShare));
 
 /** Weighs queue, prompt cache, hall, session and pace. `deckwheeld` rates by this unless its setting `routing` says otherwise. */
-export const rateByCost: RateEndpoint<CostRequest> = (state, request, now) => {
+export const scoreByCost: ScoreEndpoint<CostRequest> = (state, request, now) => {
 	const {info, serviceMs, msPerToken} = state;
 	const load = estimateLoad(state, now);
 	const waitMs = Math.max(0, load + 1 - info.slots) * serviceMs / info.slots;
@@ -37,7 +37,7 @@
 	return {
 		endpoint: info.id,
 		cost,
-		hasRoom: load < roomFor(info.slots, request),
+		hasCapacity: load < roomFor(info.slots, request),
 		reason: () => `cost_ms=${cost.toFixed(1)} wait_ms=${waitMs.toFixed(1)} load=${load}/${info.slots} cached=${cached}/${request.promptTokens} hall_ms=${hallMs} move_ms=${moveMs}`,
 	};
 };
--- a/packages/routing/src/ratings/rate-endpoint.ts
+++ b/packages/routing/src/scoring/score-endpoint.ts
@@ -1,6 +1,6 @@
 import type {EndpointRequest} from '../endpoints/endpoint-request.js';
 import type {EndpointState} from '../endpoints/endpoint-state.js';
-import type {RatedEndpoint} from './rated-endpoint.js';
+import type {ScoredEndpoint} from './scored-endpoint.js';
 
 /** A policy of routing: rates one endpoint for one request. `now` is monotonic ms. */
-export type RateEndpoint<R extends EndpointRequest> = (state: EndpointState, request: R, now: number) => RatedEndpoint;
+export type ScoreEndpoint<R extends EndpointRequest> = (state: EndpointState, request: R, now: number) => ScoredEndpoint;
--- a/packages/routing/src/ratings/rated-endpoint.ts
+++ b/packages/routing/src/scoring/scored-endpoint.ts
@@ -1,7 +1,7 @@
 import type {EndpointChoice} from '../endpoints/endpoint-choice.js';
 
 /** An endpoint as one policy rates it; the least cost wins. The reason is put into words only for the one that is chosen. */
-export type RatedEndpoint = Omit<EndpointChoice, 'reason'> & {
+export type ScoredEndpoint = Omit<EndpointChoice, 'reason'> & {
 	readonly cost: number;
 	readonly reason: () => string;
 };
--- a/packages/routing/src/test/cold-endpoints.test.ts
+++ b/packages/routing/src/test/cold-endpoints.test.ts
@@ -8,7 +8,7 @@
 import {rankByRendezvous} from '@deckwheel/core';
 import test from 'ava';
 import fc from 'fast-check';
-import {findClosure} from '../endpoints/find-closure.js';
+import {findExclusion} from '../endpoints/find-exclusion.js';
 import {isColdSender} from '../endpoints/is-cold-sender.js';
 import {stepEndpoints} from '../endpoints/step-endpoints.js';
 import type {EndpointTable} from '../endpoints/endpoint-table.js';
@@ -65,7 +65,7 @@
 			table = newTable(now);
 		}
 
-		if (!findClosure(table.get(endpoint)!, request, now)) {
+		if (!findExclusion(table.get(endpoint)!, request, now)) {
 			table = stepEndpoints(table, {type: 'started', endpoint}, now);
 			arrivals.push(now + (random() * slowestConnectMs));
 		}
--- a/packages/routing/src/test/find-closure.test.ts
+++ b/packages/routing/src/test/find-exclusion.test.ts
@@ -2,9 +2,9 @@
 import type {EndpointEvent} from '../endpoints/endpoint-event.js';
 import type {EndpointInfo} from '../endpoints/endpoint-info.js';
 import type {EndpointRequest} from '../endpoints/endpoint-request.js';
-import {closureOfAll} from '../endpoints/closure-of-all.js';
+import {exclusionOfAll} from '../endpoints/exclusion-of-all.js';
 import {coldSpacingMs} from '../endpoints/cold-spacing-ms.js';
-import {findClosure} from '../endpoints/find-closure.js';
+import {findExclusion} from '../endpoints/find-exclusion.js';
 import {stepEndpoints} from '../endpoints/step-endpoints.js';
 import type {EndpointTable} from '../endpoints/endpoint-table.js';
 
@@ -23,7 +23,7 @@
 	return table;
 };
 
-const closureAt = (table: EndpointTable, changes: Partial<EndpointRequest>, now: number) => findClosure(table.get('a')!, {...request, ...changes}, now);
+const closureAt = (table: EndpointTable, changes: Partial<EndpointRequest>, now: number) => findExclusion(table.get('a')!, {...request, ...changes}, now);
 
 test('each reason for which an endpoint gets no request is told', t => {
 	const failed = Array.from({length: 3}, () => [{type: 'started', endpoint: 'a'}, {type: 'failed', endpoint: 'a'}] as const).flat();
@@ -33,7 +33,7 @@
 	t.is(closureAt(tableOf(), {target: 'other'}, 0)?.reason, 'other_service');
 	t.is(closureAt(tableOf({}, [{type: 'leaving', endpoint: 'a'}]), {}, 0)?.reason, 'leaving');
 	t.is(closureAt(tableOf(), {evacuatedHalls: new Set(['hall-a'])}, 0)?.reason, 'evacuated');
-	t.is(closureAt(tableOf(), {lostHalls: new Set(['hall-a'])}, 0)?.reason, 'out_of_reach');
+	t.is(closureAt(tableOf(), {unreachableHalls: new Set(['hall-a'])}, 0)?.reason, 'out_of_reach');
 	t.is(closureAt(tableOf({}, failed), {}, 0)?.reason, 'ejected');
 	t.deepEqual(closureAt(tableOf({}, [{type: 'rest_asked', endpoint: 'a', until: 70}]), {}, 0), {reason: 'resting', until: 70});
 	t.deepEqual(closureAt(tableOf({coldUntil: 300}), {warmup}, 0), {reason: 'cold', until: 300});
@@ -41,7 +41,7 @@
 
 test('an evacuation holds for the own hall too, a loss of reach does not', t => {
 	t.is(closureAt(tableOf(), {hall: 'hall-a', evacuatedHalls: new Set(['hall-a'])}, 0)?.reason, 'evacuated');
-	t.is(closureAt(tableOf(), {hall: 'hall-a', lostHalls: new Set(['hall-a'])}, 0), undefined);
+	t.is(closureAt(tableOf(), {hall: 'hall-a', unreachableHalls: new Set(['hall-a'])}, 0), undefined);
 });
 
 test('the region has to be in each set that binds the request; one that is not known is in none', t => {
@@ -76,9 +76,9 @@
 		}],
 	}, 0);
 	const warmup = {warmupMs: 500, reopenedAt: new Map<string, number>(), isSender: () => false};
-	t.deepEqual(closureOfAll(two, {...request, warmup}, 0), {reason: 'cold', until: 300});
-	t.is(closureOfAll(two, request, 0), undefined, 'one is open');
-	t.deepEqual(closureOfAll(two, {...request, evacuatedHalls: new Set(['hall-b'])}, 0), {reason: 'resting', until: 400});
-	t.deepEqual(closureOfAll(two, {...request, evacuatedHalls: new Set(['hall-a', 'hall-b'])}, 0), {reason: 'evacuated'});
-	t.is(closureOfAll(two, {...request, target: 'none'}, 0), undefined);
+	t.deepEqual(exclusionOfAll(two, {...request, warmup}, 0), {reason: 'cold', until: 300});
+	t.is(exclusionOfAll(two, request, 0), undefined, 'one is open');
+	t.deepEqual(exclusionOfAll(two, {...request, evacuatedHalls: new Set(['hall-b'])}, 0), {reason: 'resting', until: 400});
+	t.deepEqual(exclusionOfAll(two, {...request, evacuatedHalls: new Set(['hall-a', 'hall-b'])}, 0), {reason: 'evacuated'});
+	t.is(exclusionOfAll(two, {...request, target: 'none'}, 0), undefined);
 });
--- a/packages/routing/src/test/waiting-room.test.ts
+++ b/packages/routing/src/test/request-queue.test.ts
@@ -1,37 +1,37 @@
 import test from 'ava';
-import {emptyWaitingRoom} from '../waiting-room/empty-waiting-room.js';
-import {enterWaitingRoom} from '../waiting-room/enter-waiting-room.js';
-import {expireWaitingRoom} from '../waiting-room/expire-waiting-room.js';
-import {leaveWaitingRoom} from '../waiting-room/leave-waiting-room.js';
-import type {WaitingRequest} from '../waiting-room/waiting-request.js';
-import type {WaitingRoom} from '../waiting-room/waiting-room.js';
-
-const waiting = (id: number, changes: Partial<WaitingRequest> = {}): WaitingRequest => ({
+import {emptyRequestQueue} from '../request-queue/empty-request-queue.js';
+import {enqueueRequest} from '../request-queue/enqueue-request.js';
+import {expireQueuedRequests} from '../request-queue/expire-queued-requests.js';
+import {dequeueRequest} from '../request-queue/dequeue-request.js';
+import type {QueuedRequest} from '../request-queue/queued-request.js';
+import type {QueueState} from '../request-queue/queue-state.js';
+
+const waiting = (id: number, changes: Partial<QueuedRequest> = {}): QueuedRequest => ({
 	id, target: 'm', organisation: 'o', weight: 1, priority: 'normal', startBy: 10_000, ...changes,
 });
 
-const roomOf = (...requests: readonly WaitingRequest[]): WaitingRoom => ({...emptyWaitingRoom, waiting: requests});
+const roomOf = (...requests: readonly QueuedRequest[]): QueueState => ({...emptyRequestQueue, waiting: requests});
 
-const startAll = (room: WaitingRoom): readonly WaitingRequest[] => {
-	const {next, room: rest} = leaveWaitingRoom(room, () => true, 1);
+const startAll = (room: QueueState): readonly QueuedRequest[] => {
+	const {next, queue: rest} = dequeueRequest(room, () => true, 1);
 	return next ? [next, ...startAll(rest)] : [];
 };
 
 test('slow work may fill half of the places, so that quick work never has to turn it away', t => {
 	const full = roomOf(...Array.from({length: 5}, (_, id) => waiting(id, {priority: 'slow'})));
-	t.false(enterWaitingRoom(full, waiting(9, {priority: 'slow'}), 10, 0).isAdmitted);
-	t.true(enterWaitingRoom(full, waiting(9, {priority: 'quick'}), 10, 0).isAdmitted);
+	t.false(enqueueRequest(full, waiting(9, {priority: 'slow'}), 10, 0).isAdmitted);
+	t.true(enqueueRequest(full, waiting(9, {priority: 'quick'}), 10, 0).isAdmitted);
 });
 
 test('a request that cannot start in time is refused at once', t => {
 	const room = {...roomOf(waiting(1), waiting(2)), msPerStart: 100};
-	t.false(enterWaitingRoom(room, waiting(3, {startBy: 150}), 10, 0).isAdmitted);
-	t.true(enterWaitingRoom(room, waiting(3, {startBy: 250}), 10, 0).isAdmitted);
+	t.false(enqueueRequest(room, waiting(3, {startBy: 150}), 10, 0).isAdmitted);
+	t.true(enqueueRequest(room, waiting(3, {startBy: 250}), 10, 0).isAdmitted);
 });
 
 test('a waiting request is refused as soon as it shows that it will be late', t => {
 	const room = {...roomOf(waiting(1), waiting(2, {startBy: 150})), msPerStart: 200};
-	t.deepEqual(expireWaitingRoom(room, 0).expired.map(({id}) => id), [2]);
+	t.deepEqual(expireQueuedRequests(room, 0).expired.map(({id}) => id), [2]);
 });
 
 test('quick work goes first, and slow work still gets its turns', t => {
--- a/packages/routing/src/test/step-endpoints.test.ts
+++ b/packages/routing/src/test/step-endpoints.test.ts
@@ -2,9 +2,9 @@
 import {chooseEndpoint} from '../endpoints/choose-endpoint.js';
 import type {EndpointEvent} from '../endpoints/endpoint-event.js';
 import type {EndpointTable} from '../endpoints/endpoint-table.js';
-import type {CostRequest} from '../ratings/cost-request.js';
-import {rateByCost} from '../ratings/rate-by-cost.js';
-import {closureOfAll} from '../endpoints/closure-of-all.js';
+import type {CostRequest} from '../scoring/cost-request.js';
+import {scoreByCost} from '../scoring/score-by-cost.js';
+import {exclusionOfAll} from '../endpoints/exclusion-of-all.js';
 import {stepEndpoints} from '../endpoints/step-endpoints.js';
 
 const info = (id: string, changes = {}) => ({
@@ -29,29 +29,29 @@
 
 test('an endpoint that fails three times in a row is left alone, then probed by one request', t => {
 	const failed = play(two, [...fail, ...fail, ...fail]);
-	t.is(chooseEndpoint(failed, request, 500, rateByCost)?.endpoint, 'b');
+	t.is(chooseEndpoint(failed, request, 500, scoreByCost)?.endpoint, 'b');
 	const later = 2000;
-	t.is(chooseEndpoint(failed, {...request, tried: ['b']}, later, rateByCost)?.endpoint, 'a');
+	t.is(chooseEndpoint(failed, {...request, tried: ['b']}, later, scoreByCost)?.endpoint, 'a');
 	const probed = play(failed, [{type: 'started', endpoint: 'a'}]);
-	t.is(chooseEndpoint(probed, {...request, tried: ['b']}, later, rateByCost), undefined);
+	t.is(chooseEndpoint(probed, {...request, tried: ['b']}, later, scoreByCost), undefined);
 });
 
 test('a leaving or tried endpoint gets nothing new', t => {
 	const leaving = play(two, [{type: 'configured', endpoints: [info('a', {isLeaving: true}), info('b')]}]);
-	t.is(chooseEndpoint(leaving, request, 0, rateByCost)?.endpoint, 'b');
-	t.is(chooseEndpoint(leaving, {...request, tried: ['b']}, 0, rateByCost), undefined);
+	t.is(chooseEndpoint(leaving, request, 0, scoreByCost)?.endpoint, 'b');
+	t.is(chooseEndpoint(leaving, {...request, tried: ['b']}, 0, scoreByCost), undefined);
 });
 
 test('the less loaded endpoint is chosen, and a cached prompt weighs against load', t => {
 	const busy = play(two, [{type: 'started', endpoint: 'a'}]);
-	t.is(chooseEndpoint(busy, request, 0, rateByCost)?.endpoint, 'b');
+	t.is(chooseEndpoint(busy, request, 0, scoreByCost)?.endpoint, 'b');
 	const long = {...request, promptTokens: 1000, cachedTokens: (endpoint: string) => endpoint === 'a' ? 1000 : 0};
-	t.is(chooseEndpoint(busy, long, 0, rateByCost)?.endpoint, 'a');
+	t.is(chooseEndpoint(busy, long, 0, scoreByCost)?.endpoint, 'a');
 });
 
 test('a report of others\' load counts, and this host\'s own requests are not counted twice', t => {
 	const reported = play(two, [{type: 'started', endpoint: 'a'}, {type: 'reported', endpoint: 'a', total: 1}]);
-	t.regex(chooseEndpoint(reported, {...request, tried: ['b']}, 0, rateByCost)!.reason, /load=1\/2/);
+	t.regex(chooseEndpoint(reported, {...request, tried: ['b']}, 0, scoreByCost)!.reason, /load=1\/2/);
 });
 
 // The entry of an endpoint may lapse while the store is away. Its open requests were forgotten with it and, once it was listed
@@ -59,7 +59,7 @@
 test('what is open at an endpoint whose entry lapsed counts when it is listed again, and when it ends', t => {
 	const open = play(two, [{type: 'started', endpoint: 'a'}, {type: 'started', endpoint: 'a'}]);
 	const lapsed = play(open, [{type: 'configured', endpoints: [info('b')]}]);
-	t.is(chooseEndpoint(lapsed, {...request, tried: ['b']}, 0, rateByCost), undefined, 'it is not chosen meanwhile');
+	t.is(chooseEndpoint(lapsed, {...request, tried: ['b']}, 0, scoreByCost), undefined, 'it is not chosen meanwhile');
 	const back = play(lapsed, [{type: 'abandoned', endpoint: 'a'}, {type: 'configured', endpoints: [info('a'), info('b')]}]);
 	t.is(back.get('a')!.inFlight, 1);
 	t.is(play(back, [{type: 'abandoned', endpoint: 'a'}]).get('a')!.inFlight, 0);
@@ -81,15 +81,15 @@
 
 test('an endpoint at whose address another process answers is left alone at once', t => {
 	const gone = play(two, [{type: 'started', endpoint: 'a'}, {type: 'gone', endpoint: 'a'}]);
-	t.is(chooseEndpoint(gone, {...request, tried: ['b']}, 500, rateByCost), undefined);
+	t.is(chooseEndpoint(gone, {...request, tried: ['b']}, 500, scoreByCost), undefined);
 });
 
 test('an endpoint that says that it leaves gets nothing new, whatever is listed, and though its entry lapses meanwhile', t => {
 	const said = play(two, [{type: 'leaving', endpoint: 'a'}]);
 	const lists: readonly EndpointEvent[] = [{type: 'configured', endpoints: [info('b')]}, {type: 'configured', endpoints: [info('a'), info('b')]}];
-	t.is(chooseEndpoint(said, {...request, tried: ['b']}, 0, rateByCost), undefined);
-	t.is(chooseEndpoint(play(said, lists), {...request, tried: ['b']}, 0, rateByCost), undefined);
-	t.is(chooseEndpoint(play(said, [{type: 'configured', endpoints: [info('a in its next life')]}]), request, 0, rateByCost)?.endpoint, 'a in its next life');
+	t.is(chooseEndpoint(said, {...request, tried: ['b']}, 0, scoreByCost), undefined);
+	t.is(chooseEndpoint(play(said, lists), {...request, tried: ['b']}, 0, scoreByCost), undefined);
+	t.is(chooseEndpoint(play(said, [{type: 'configured', endpoints: [info('a in its next life')]}]), request, 0, scoreByCost)?.endpoint, 'a in its next life');
 });
 
 test('its word is forgotten some time after its entry went', t => {
@@ -100,20 +100,20 @@
 
 test('an endpoint that asked for rest gets nothing until its end; where all did, the first end is known', t => {
 	const one = play(two, [{type: 'rest_asked', endpoint: 'a', until: 500}]);
-	t.is(chooseEndpoint(one, request, 499, rateByCost)?.endpoint, 'b');
-	t.is(chooseEndpoint(one, {...request, tried: ['b']}, 499, rateByCost), undefined);
-	t.is(chooseEndpoint(one, {...request, tried: ['b']}, 500, rateByCost)?.endpoint, 'a');
-	t.is(closureOfAll(one, request, 0), undefined);
+	t.is(chooseEndpoint(one, request, 499, scoreByCost)?.endpoint, 'b');
+	t.is(chooseEndpoint(one, {...request, tried: ['b']}, 499, scoreByCost), undefined);
+	t.is(chooseEndpoint(one, {...request, tried: ['b']}, 500, scoreByCost)?.endpoint, 'a');
+	t.is(exclusionOfAll(one, request, 0), undefined);
 	const all = play(one, [{type: 'rest_asked', endpoint: 'b', until: 700}, {type: 'rest_asked', endpoint: 'a', until: 300}]);
-	t.deepEqual(closureOfAll(all, request, 0), {reason: 'resting', until: 500}, 'a later word does not shorten what was asked for');
-	t.is(closureOfAll(all, request, 500), undefined);
-	t.is(closureOfAll(new Map(), request, 0), undefined);
+	t.deepEqual(exclusionOfAll(all, request, 0), {reason: 'resting', until: 500}, 'a later word does not shorten what was asked for');
+	t.is(exclusionOfAll(all, request, 500), undefined);
+	t.is(exclusionOfAll(new Map(), request, 0), undefined);
 });
 
 test('an entry that lapses during a rest does not end it', t => {
 	const back = play(two, [
 		{type: 'rest_asked', endpoint: 'a', until: 500}, {type: 'configured', endpoints: []}, {type: 'configured', endpoints: [info('a')]},
 	]);
-	t.is(chooseEndpoint(back, request, 499, rateByCost), undefined);
-	t.is(chooseEndpoint(back, request, 500, rateByCost)?.endpoint, 'a');
+	t.is(chooseEndpoint(back, request, 499, scoreByCost), undefined);
+	t.is(chooseEndpoint(back, request, 500, scoreByCost)?.endpoint, 'a');
 });
--- a/packages/store-client/src/connect-platform.ts
+++ b/packages/store-client/src/connect-platform.ts
@@ -1,4 +1,4 @@
-import {fail, succeed, type Outcome} from '@deckwheel/core';
+import {fail, succeed, type Result} from '@deckwheel/core';
 import got, {RequestError, type Got, type Response} from 'got';
 import {z} from 'zod';
 import type {ListedHost} from './listed-host.js';
@@ -48,7 +48,7 @@
 const errorOfException = (error: unknown): StoreError =>
 	error instanceof RequestError && neverSentCodes.has(error.code) ? 'unavailable' : 'unknown';
 
-const readBody = <T>(response: Response, schema: z.ZodType<T>): Outcome<T, StoreError> => {
+const readBody = <T>(response: Response, schema: z.ZodType<T>): Result<T, StoreError> => {
 	if (response.statusCode !== 200) {
 		return fail(errorOfStatus(response.statusCode));
 	}
@@ -57,7 +57,7 @@
 	return parsed.success ? succeed(parsed.data) : fail('unknown');
 };
 
-const call = async <T>(request: () => Promise<Response>, schema: z.ZodType<T>): Promise<Outcome<T, StoreError>> => {
+const call = async <T>(request: () => Promise<Response>, schema: z.ZodType<T>): Promise<Result<T, StoreError>> => {
 	try {
 		return readBody(await request(), schema);
 	} catch (error) {
