--- a/packages/daemon/src/lib/peers/create-peer-handlers.ts
+++ b/packages/daemon/src/lib/peers/create-peer-handlers.ts
@@ -1,7 +1,7 @@
 import {context as traceContext, propagation} from '@opentelemetry/api';
 import type {Identity, MeshHandlers} from '@deckwheel/mesh';
 import type {SlotReply} from '@deckwheel/ledger';
-import type {PoisonWatch} from '@deckwheel/poison';
+import type {PoisonDetector} from '@deckwheel/poison';
 import type {BundleTask} from '../operating/bundle-task.js';
 import type {Context} from '../process/context.js';
 import type {MembershipTask} from '../membership/membership-task.js';
@@ -25,7 +25,7 @@
 	readonly membership: () => MembershipTask;
 	readonly slots: () => SlotsTask;
 	readonly bundle: () => BundleTask;
-	readonly poison: () => PoisonWatch;
+	readonly poison: () => PoisonDetector;
 	readonly serve: (slot: number, request: PeerSlotRequest) => Promise<SlotReply>;
 	readonly forward: (address: string, body: unknown, timeoutMs: number) => Promise<unknown>;
 };
--- a/packages/daemon/src/lib/running/create-run-job.ts
+++ b/packages/daemon/src/lib/running/create-run-job.ts
@@ -1,7 +1,7 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import type {Refusal, RunState} from '@deckwheel/core';
 import type {Run, SlotReply} from '@deckwheel/ledger';
-import type {PoisonWatch} from '@deckwheel/poison';
+import type {PoisonDetector} from '@deckwheel/poison';
 import type {Place} from '../placing/place.js';
 import type {RouterTask} from '../placing/router-task.js';
 import type {Context} from '../process/context.js';
@@ -27,7 +27,7 @@
 	readonly askSlot: AskSlot;
 	readonly router: RouterTask;
 	readonly settler: Settler;
-	readonly poison: PoisonWatch;
+	readonly poison: PoisonDetector;
 	/** How long records of keys are kept after their deadline, in ms. */
 	readonly keepMs: () => number;
 };
--- a/packages/daemon/src/lib/running/send-run.ts
+++ b/packages/daemon/src/lib/running/send-run.ts
@@ -1,6 +1,6 @@
 import {SpanStatusCode} from '@opentelemetry/api';
 import type {Run} from '@deckwheel/ledger';
-import type {PoisonWatch} from '@deckwheel/poison';
+import type {PoisonDetector} from '@deckwheel/poison';
 import type {Place} from '../placing/place.js';
 import type {Context} from '../process/context.js';
 import {fingerprintOfJob} from './fingerprint-of-job.js';
@@ -14,7 +14,7 @@
 	readonly place: Place;
 	/** When the claim was asked for, in monotonic ms. */
 	readonly claimedAt: number;
-	readonly poison: PoisonWatch;
+	readonly poison: PoisonDetector;
 };
 
 type Sent = {
--- a/packages/daemon/src/lib/running/start-poison-watch.ts
+++ b/packages/daemon/src/lib/running/start-poison-watch.ts
@@ -1,7 +1,7 @@
 import {probeAddress} from '@deckwheel/host-kit';
 import type {Mesh} from '@deckwheel/mesh';
 import {
-	createEndpointEnds, createPoisonWatch, suspicionsReplySchema, type PoisonWatch,
+	createEndpointEnds, createPoisonDetector, suspicionsReplySchema, type PoisonDetector,
 } from '@deckwheel/poison';
 import type {MembershipTask} from '../membership/membership-task.js';
 import type {Context} from '../process/context.js';
@@ -20,8 +20,8 @@
 };
 
 /** Starts the task that finds requests that end the endpoints that run them, together with the other hosts. */
-export const startPoisonWatch = ({settings: {host, hall}, clock, log}: Context, {mesh, membership, address}: Options): PoisonWatch =>
-	createPoisonWatch({
+export const startPoisonWatch = ({settings: {host, hall}, clock, log}: Context, {mesh, membership, address}: Options): PoisonDetector =>
+	createPoisonDetector({
 		self: () => ({address: address(), hall}),
 		peers: () => membership().hosts().filter(known => known.host !== host),
 		async ask(peer, question) {
--- a/packages/entry/src/lib/hall-health/hall-watch.ts
+++ b/packages/entry/src/lib/hall-health/hall-monitor.ts
@@ -2,9 +2,9 @@
 import type {OpenAttempt} from './open-attempt.js';
 
 /** Knows which other halls are out of reach. */
-export type HallWatch = {
+export type HallMonitor = {
 	readonly list: (endpoints: readonly ListedEndpoint[]) => void;
-	readonly isLost: (hall: string) => boolean;
+	readonly isUnreachable: (hall: string) => boolean;
 	/** Notes that a try began. Returns what notes its end. */
 	readonly open: (attempt: OpenAttempt) => () => void;
 	/** Notes that bytes of a hall's endpoint came. */
--- a/packages/entry/src/lib/hall-health/start-hall-watch.ts
+++ b/packages/entry/src/lib/hall-health/start-hall-monitor.ts
@@ -3,7 +3,7 @@
 import {createOpenAttempts} from './create-open-attempts.js';
 import type {HallReachEvent} from './hall-reach-event.js';
 import type {HallReach} from './hall-reach.js';
-import type {HallWatch} from './hall-watch.js';
+import type {HallMonitor} from './hall-monitor.js';
 import {stepHallReach} from './step-hall-reach.js';
 
 /** How often each hall is looked at, in ms: a third of the silence that brings a probe. */
@@ -52,7 +52,7 @@
 It owns what is known of each hall and the list of tries under way; when to probe and what a probe means is decided by
 `stepHallReach`.
 */
-export const startHallWatch = ({hall: ownHall, isEvacuated = () => false, probe, isOverloaded, log, now}: Options): HallWatch => {
+export const startHallMonitor = ({hall: ownHall, isEvacuated = () => false, probe, isOverloaded, log, now}: Options): HallMonitor => {
 	const reaches = new Map<string, HallReach>();
 	const attempts = createOpenAttempts();
 	let byHall: ReadonlyMap<string, readonly ListedEndpoint[]> = new Map();
@@ -98,7 +98,7 @@
 		list(endpoints) {
 			byHall = groupByHall(endpoints.filter(({isLeaving}) => !isLeaving));
 		},
-		isLost: hall => reachOf(hall).isLost,
+		isUnreachable: hall => reachOf(hall).isLost,
 		open: attempts.add,
 		heard(hall) {
 			stepOther(hall, {type: 'heard'});
--- a/packages/entry/src/lib/host/start-health-watch.ts
+++ b/packages/entry/src/lib/host/start-health-watch.ts
@@ -3,10 +3,10 @@
 import type {ListedEndpoint} from '../../adapter/listed-endpoint.js';
 import type {Log} from '../../adapter/log.js';
 import type {Timeouts} from '../../timeouts.js';
-import type {HallWatch} from '../hall-health/hall-watch.js';
-import {startHallWatch} from '../hall-health/start-hall-watch.js';
-import type {LatenessWatch} from '../own-health/lateness-watch.js';
-import {startLatenessWatch} from '../own-health/start-lateness-watch.js';
+import type {HallMonitor} from '../hall-health/hall-monitor.js';
+import {startHallMonitor} from '../hall-health/start-hall-monitor.js';
+import type {OverloadMonitor} from '../own-health/overload-monitor.js';
+import {startOverloadMonitor} from '../own-health/start-overload-monitor.js';
 
 type Options = {
 	readonly hall: string;
@@ -23,8 +23,8 @@
 
 /** What a host finds out about itself and about other halls. */
 type HealthWatch = {
-	readonly lateness: LatenessWatch;
-	readonly halls: HallWatch;
+	readonly lateness: OverloadMonitor;
+	readonly halls: HallMonitor;
 	/** Notes how long an endpoint took to accept a connection, in ms. */
 	readonly noteConnect: (endpoint: ListedEndpoint, tookMs: number) => void;
 	readonly close: () => void;
@@ -32,10 +32,10 @@
 
 /** Starts the watches of this host's own lateness and of other halls. A host that is late judges no hall. */
 export const startHealthWatch = ({hall, isEvacuated, bounds, timeouts, open, log, now}: Options): HealthWatch => {
-	const lateness = startLatenessWatch({
+	const lateness = startOverloadMonitor({
 		boundMs: bounds.relayMs, open, log, now,
 	});
-	const halls = startHallWatch({
+	const halls = startHallMonitor({
 		hall, isEvacuated, probe: async address => await probeAddress(address, timeouts.probeMs) === 'reached', isOverloaded: lateness.isOverloaded, log, now,
 	});
 	return {
--- a/packages/entry/src/lib/host/start-peer-tasks.ts
+++ b/packages/entry/src/lib/host/start-peer-tasks.ts
@@ -1,6 +1,6 @@
 import {createEventCounter, probeAddress} from '@deckwheel/host-kit';
 import {
-	createEndpointEnds, createPoisonWatch, suspicionsReplySchema, type PoisonWatch,
+	createEndpointEnds, createPoisonDetector, suspicionsReplySchema, type PoisonDetector,
 } from '@deckwheel/poison';
 import type {z} from 'zod';
 import type {Log} from '../../adapter/log.js';
@@ -46,7 +46,7 @@
 /** What a host shares with its peers: rights on budgets, and what it sees of the store. */
 type PeerTasks = {
 	readonly rights: RightsKeeper;
-	readonly poison: PoisonWatch;
+	readonly poison: PoisonDetector;
 	readonly limits: EndpointLimits;
 	readonly storeChanges: StoreChanges;
 	/** As of `PeerLinks`. */
@@ -79,7 +79,7 @@
 		return reply?.ok ? readPeerReply(schema, reply.value, {address: asked, type: message.type}, log) : undefined;
 	};
 
-	const poison = createPoisonWatch({
+	const poison = createPoisonDetector({
 		self: () => links.self(),
 		peers: () => links.others(),
 		ask: async ({address: asked}, question) => askPeer(asked, {type: 'suspicions', ...question}, suspicionsReplySchema),
--- a/packages/entry/src/lib/own-health/lateness-watch.ts
+++ b/packages/entry/src/lib/own-health/overload-monitor.ts
@@ -1,5 +1,5 @@
 /** Knows whether this host keeps up with its work. */
-export type LatenessWatch = {
+export type OverloadMonitor = {
 	/** Notes how long a connection within the hall took to come up, in ms. */
 	readonly noteConnect: (tookMs: number) => void;
 	readonly isOverloaded: () => boolean;
--- a/packages/entry/src/lib/own-health/start-lateness-watch.ts
+++ b/packages/entry/src/lib/own-health/start-overload-monitor.ts
@@ -1,6 +1,6 @@
 import type {Log} from '../../adapter/log.js';
 import type {LatenessEvent} from './lateness-event.js';
-import type {LatenessWatch} from './lateness-watch.js';
+import type {OverloadMonitor} from './overload-monitor.js';
 import type {Lateness} from './lateness.js';
 import {stepLateness} from './step-lateness.js';
 import {stepShedding} from './step-shedding.js';
@@ -28,7 +28,7 @@
 Watches how late this process's timers are, and how long connections within its hall take: a host whose core or link cannot
 keep up sends callers elsewhere, and blames no endpoint for its own delays.
 */
-export const startLatenessWatch = ({boundMs, open, log, now}: Options): LatenessWatch => {
+export const startOverloadMonitor = ({boundMs, open, log, now}: Options): OverloadMonitor => {
 	let lateness: Lateness = {
 		timerMs: 0, connectMs: 0, isLate: false, isOverloaded: false,
 	};
--- a/packages/entry/src/lib/peers/count-peer-questions.ts
+++ b/packages/entry/src/lib/peers/count-peer-questions.ts
@@ -4,7 +4,7 @@
 const typeOf = (question: unknown): string => (question as {readonly type: string}).type;
 
 /**
-Wraps the links to peers: a tally tells how many questions of each type ended how.
+Wraps the links to peers: an event counter tells how many questions of each type ended how.
 
 `quietest_ms` is the longest time for which nothing at all had come over a link whose peer left a question without an
 answer. A link that carries nothing any more shows by it; a peer that answers late has sent something a moment ago.
--- a/packages/entry/src/lib/request/host-context.ts
+++ b/packages/entry/src/lib/request/host-context.ts
@@ -1,5 +1,5 @@
 import type {ServerResponse} from 'node:http';
-import type {PoisonWatch} from '@deckwheel/poison';
+import type {PoisonDetector} from '@deckwheel/poison';
 import type {Bounds} from '../../adapter/bounds.js';
 import type {FleetConfig} from '../../config/fleet-config.js';
 import type {HeaderNames} from '../../adapter/header-names.js';
@@ -9,7 +9,7 @@
 import type {RetryLimiter} from '../host/retry-limiter.js';
 import type {ConnectionPool} from '../sending/connection-pool.js';
 import type {EndpointChooser} from '../choice/endpoint-chooser.js';
-import type {HallWatch} from '../hall-health/hall-watch.js';
+import type {HallMonitor} from '../hall-health/hall-monitor.js';
 import type {EndpointLimits} from '../request-limits/endpoint-limits.js';
 import type {RightsKeeper} from '../rights/rights-keeper.js';
 
@@ -36,8 +36,8 @@
 	readonly headerNames: HeaderNames;
 	readonly chooser: EndpointChooser;
 	readonly limits: Pick<EndpointLimits, 'noteAnswer' | 'isLimited' | 'obtain'>;
-	readonly halls: HallWatch;
-	readonly poison: PoisonWatch;
+	readonly halls: HallMonitor;
+	readonly poison: PoisonDetector;
 	readonly rights: RightsKeeper;
 	readonly pool: ConnectionPool;
 	readonly retries: RetryLimiter;
--- a/packages/entry/src/lib/sending/track-attempt.ts
+++ b/packages/entry/src/lib/sending/track-attempt.ts
@@ -1,5 +1,5 @@
 import type {ListedEndpoint} from '../../adapter/listed-endpoint.js';
-import type {HallWatch} from '../hall-health/hall-watch.js';
+import type {HallMonitor} from '../hall-health/hall-monitor.js';
 
 type Options = {
 	/** Monotonic ms. */
@@ -18,7 +18,7 @@
 };
 
 /** Makes a try known to the watch of halls, so that it ends when its endpoint's hall is lost. */
-export const trackAttempt = (halls: HallWatch, endpoint: ListedEndpoint, {sentAt, mayMove, signal}: Options): TrackedAttempt => {
+export const trackAttempt = (halls: HallMonitor, endpoint: ListedEndpoint, {sentAt, mayMove, signal}: Options): TrackedAttempt => {
 	const move = new AbortController();
 	const abandon = (): void => {
 		move.abort();
--- a/packages/entry/src/test/start-hall-watch.test.ts
+++ b/packages/entry/src/test/start-hall-watch.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {startHallWatch} from '../lib/hall-health/start-hall-watch.js';
+import {startHallMonitor} from '../lib/hall-health/start-hall-monitor.js';
 
 const endpoint = (id: string, hall: string) => ({
 	id, instance: id, hall, address: `10.0.0.1:${id}`, serves: ['s'], slots: 1, isLeaving: false,
@@ -8,7 +8,7 @@
 test('when a hall is lost, requests that wait there and may run elsewhere are told; those of other halls are not', async t => {
 	const told: string[] = [];
 	const probed: string[] = [];
-	const halls = startHallWatch({
+	const halls = startHallMonitor({
 		hall: 'a',
 		async probe(address) {
 			probed.push(address);
@@ -38,7 +38,7 @@
 		});
 	});
 	t.deepEqual(told, ['2']);
-	t.true(halls.isLost('b'));
-	t.false(halls.isLost('a'));
+	t.true(halls.isUnreachable('b'));
+	t.false(halls.isUnreachable('a'));
 	t.true(probed.every(address => address === far.address));
 });
--- a/packages/host-kit/src/create-event-counter.ts
+++ b/packages/host-kit/src/create-event-counter.ts
@@ -5,7 +5,7 @@
 const reportMs = 10_000;
 
 /**
-Creates a tally. It is logged as one line every ten seconds in which something was counted, and begins anew then.
+Creates an event counter. It is logged as one line every ten seconds in which something was counted, and begins anew then.
 
 @param event The name of the line.
 */
--- a/packages/poison/src/create-poison-watch.ts
+++ b/packages/poison/src/create-poison-detector.ts
@@ -6,7 +6,7 @@
 import {successiveEnds} from './lib/successive-ends.js';
 import type {LostRun} from './lost-run.js';
 import type {Peer} from './peer.js';
-import type {PoisonWatch} from './poison-watch.js';
+import type {PoisonDetector} from './poison-detector.js';
 import type {SuspicionsQuestion} from './suspicions-question.js';
 import type {SuspicionsReply} from './suspicions-reply.js';
 
@@ -35,14 +35,14 @@
 };
 
 /**
-Creates a watch that suspects no request, and starts its gossip.
+Creates a detector that suspects no request, and starts its gossip.
 
 A request is blocked once endpoints have ended under it one after the other (`successiveEnds`, `blockedUntil`), at whichever
 hosts. Each host tells the collectors of a request (`collectorsOf`) what it saw; who finds that it is to be blocked tells its hall.
 While one is blocked, hosts go on telling some others at random, so that one that was cut off, or has just started, hears too.
 The store is not asked: it may be away, and a lost run would cost it a call.
 */
-export const createPoisonWatch = ({self, peers, ask, ends, log, random, every, now}: Options): PoisonWatch => {
+export const createPoisonDetector = ({self, peers, ask, ends, log, random, every, now}: Options): PoisonDetector => {
 	const table = createSuspicionTable(now);
 	const exchange = createExchange({
 		table, learn: createLearner({table, log, now}), self, peers, ask, random, now,
--- a/packages/poison/src/index.ts
+++ b/packages/poison/src/index.ts
@@ -1,6 +1,6 @@
 export {createEndpointEnds} from './create-endpoint-ends.js';
-export {createPoisonWatch} from './create-poison-watch.js';
-export type {PoisonWatch} from './poison-watch.js';
+export {createPoisonDetector} from './create-poison-detector.js';
+export type {PoisonDetector} from './poison-detector.js';
 export {suspicionsQuestionSchema} from './suspicions-question-schema.js';
 export type {SuspicionsQuestion} from './suspicions-question.js';
 export type {SuspicionsReply} from './suspicions-reply.js';
--- a/packages/poison/src/lib/create-exchange.ts
+++ b/packages/poison/src/lib/create-exchange.ts
@@ -1,5 +1,5 @@
 import type {Peer} from '../peer.js';
-import type {PoisonWatch} from '../poison-watch.js';
+import type {PoisonDetector} from '../poison-detector.js';
 import type {SuspicionsQuestion} from '../suspicions-question.js';
 import type {SuspicionsReply} from '../suspicions-reply.js';
 import {collectorsOf} from './collectors-of.js';
@@ -31,7 +31,7 @@
 };
 
 /** What hosts tell each other of suspected requests. */
-type Exchange = Pick<PoisonWatch, 'answer'> & {
+type Exchange = Pick<PoisonDetector, 'answer'> & {
 	/** Takes in what this host saw itself, and tells who has to know. */
 	readonly spread: (request: string, seen: Suspicion) => void;
 	/** Tells some peers at random what is blocked, and asks them for what they know; nothing once they were asked, where nothing is blocked. */
--- a/packages/poison/src/poison-watch.ts
+++ b/packages/poison/src/poison-detector.ts
@@ -3,7 +3,7 @@
 import type {SuspicionsReply} from './suspicions-reply.js';
 
 /** Finds the requests that end the endpoints that run them, together with the other hosts. */
-export type PoisonWatch = {
+export type PoisonDetector = {
 	readonly runLost: (run: LostRun) => void;
 	/** Notes that an endpoint answered a request whole, and so lived through it. */
 	readonly runAnswered: (fingerprint: () => string) => void;
--- a/packages/poison/src/test/lib/create-fleet.ts
+++ b/packages/poison/src/test/lib/create-fleet.ts
@@ -1,6 +1,6 @@
-import {createPoisonWatch} from '../../create-poison-watch.js';
+import {createPoisonDetector} from '../../create-poison-detector.js';
 import type {Peer} from '../../peer.js';
-import type {PoisonWatch} from '../../poison-watch.js';
+import type {PoisonDetector} from '../../poison-detector.js';
 
 /** Between two rounds of gossip, in ms, as the watch has it. */
 const roundMs = 1000;
@@ -15,7 +15,7 @@
 };
 
 /** One life of a host. */
-type Life = {readonly watch: PoisonWatch; readonly tick: () => void};
+type Life = {readonly watch: PoisonDetector; readonly tick: () => void};
 
 type Member = {
 	readonly peer: Peer;
@@ -35,7 +35,7 @@
 
 	const startLife = (index: number, peer: Peer): Life => {
 		let tick = (): void => undefined;
-		const watch = createPoisonWatch({
+		const watch = createPoisonDetector({
 			self: () => peer,
 			peers: () => members.filter(member => member.peer !== peer).map(member => member.peer),
 			async ask(to, question) {
