--- a/packages/entry/src/lib/choice/create-endpoint-chooser.ts
+++ b/packages/entry/src/lib/choice/create-endpoint-chooser.ts
@@ -28,41 +28,41 @@
 export const createEndpointChooser = ({hall, isLost, warmupRules, now}: Options): EndpointChooser => {
 	const cacheEstimate = createPrefixCacheEstimate();
 	const preferredEndpoints = createPreferredEndpoints();
-	let halls: readonly string[] = [];
+	let listedHalls: readonly string[] = [];
 	let table: EndpointTable = new Map();
 	let byId: ReadonlyMap<string, ListedEndpoint> = new Map();
 	let evacuations: Evacuations = {halls: new Set(), reopenedAt: new Map()};
 
-	const lostHalls = (): ReadonlySet<string> => new Set(halls.filter(name => isLost(name)));
+	const unreachableHalls = (): ReadonlySet<string> => new Set(listedHalls.filter(name => isLost(name)));
 
 	// Prompts are not to be read first where no request goes any more.
-	const listPreferred = (): void => {
+	const updatePreferred = (): void => {
 		preferredEndpoints.list([...byId.values()].filter(({id}) => {
 			const {info} = table.get(id)!;
 			return !info.isLeaving && !evacuations.halls.has(info.hall);
 		}));
 	};
 
-	const limitsOf = ({service, regions}: Pick<ChoiceRequest, 'service' | 'regions'>) => ({
-		target: service, hall, lostHalls: lostHalls(), evacuatedHalls: evacuations.halls, regions, warmup: warmupRules?.(service, evacuations.reopenedAt),
+	const constraintsOf = ({service, regions}: Pick<ChoiceRequest, 'service' | 'regions'>) => ({
+		target: service, hall, unreachableHalls: unreachableHalls(), evacuatedHalls: evacuations.halls, regions, warmup: warmupRules?.(service, evacuations.reopenedAt),
 	});
 
 	return {
 		list(endpoints) {
 			byId = new Map(endpoints.map(endpoint => [endpoint.id, endpoint]));
 			table = stepEndpoints(table, {type: 'configured', endpoints}, now());
-			halls = [...new Set(endpoints.map(endpoint => endpoint.hall))];
-			listPreferred();
+			listedHalls = [...new Set(endpoints.map(endpoint => endpoint.hall))];
+			updatePreferred();
 		},
 		evacuate(next) {
 			evacuations = stepEvacuations(evacuations, next, now());
-			listPreferred();
+			updatePreferred();
 		},
 		choose({parts, tried, avoidedHalls, ...request}) {
 			const key = affinityKey(parts);
-			const preferred = key === undefined ? undefined : preferredEndpoints.of(request.service, key);
+			const preferred = key === undefined ? undefined : preferredEndpoints.find(request.service, key);
 			const choice = chooseEndpoint(table, {
-				...limitsOf(request),
+				...constraintsOf(request),
 				cachedTokens: endpoint => cacheEstimate.cachedTokens(endpoint, parts, preferred),
 				promptTokens: parts.reduce((sum, {tokens}) => sum + tokens, 0),
 				avoidedHalls,
@@ -71,15 +71,15 @@
 			return choice && {endpoint: byId.get(choice.endpoint)!, reason: choice.reason};
 		},
 		noteStarted(endpoint, parts) {
-			cacheEstimate.note(endpoint, parts);
+			cacheEstimate.noteSent(endpoint, parts);
 			table = stepEndpoints(table, {type: 'started', endpoint}, now());
 		},
-		exclusionOfAll: request => exclusionOfAll(table, limitsOf(request), now()),
+		exclusionOfAll: request => exclusionOfAll(table, constraintsOf(request), now()),
 		note(event) {
 			const wasLeaving = table.get(event.endpoint)?.hasAnnouncedLeaving;
 			table = stepEndpoints(table, event, now());
 			if (event.type === 'leaving' && !wasLeaving) {
-				listPreferred();
+				updatePreferred();
 			}
 		},
 	};
--- a/packages/entry/src/lib/choice/create-endpoint-listing.ts
+++ b/packages/entry/src/lib/choice/create-endpoint-listing.ts
@@ -24,7 +24,7 @@
 	let listed: readonly ListedEndpoint[] | undefined;
 	let used: readonly ListedEndpoint[] = [];
 
-	const use = (all: readonly ListedEndpoint[], next: readonly ListedEndpoint[]): void => {
+	const setUsed = (all: readonly ListedEndpoint[], next: readonly ListedEndpoint[]): void => {
 		used = next;
 		onUsed(used, all.length - used.length);
 	};
@@ -32,12 +32,12 @@
 	return {
 		list(endpoints) {
 			listed = endpoints;
-			use(listed, endpointsInUse(listed, config()));
+			setUsed(listed, endpointsInUse(listed, config()));
 		},
 		review() {
 			const next = listed && endpointsInUse(listed, config());
 			if (listed && next && !isDeepStrictEqual(next, used)) {
-				use(listed, next);
+				setUsed(listed, next);
 			}
 		},
 		isKnown: () => listed !== undefined,
--- a/packages/entry/src/lib/choice/create-preferred-endpoints.ts
+++ b/packages/entry/src/lib/choice/create-preferred-endpoints.ts
@@ -3,14 +3,14 @@
 import type {ListedEndpoint} from '../../adapter/listed-endpoint.js';
 
 /** Shared parts of prompts whose preferred endpoint is remembered: a bound on memory. */
-const maxPreferred = 5000;
+const maxRememberedParts = 5000;
 
 /** Where all hosts send the prompts that share a part first, without asking each other. */
 type PreferredEndpoints = {
 	/** Takes in the endpoints in use. */
 	readonly list: (endpoints: readonly ListedEndpoint[]) => void;
 	/** The life of the endpoint that a service's prompts with this shared part go to; `undefined` where the service has none that stays. */
-	readonly of: (service: string, part: string) => string | undefined;
+	readonly find: (service: string, part: string) => string | undefined;
 };
 
 /**
@@ -21,38 +21,38 @@
 */
 export const createPreferredEndpoints = (): PreferredEndpoints => {
 	/** Lives of endpoints that stay, by service and name, as far as they were asked for since the last list. */
-	const members = new Map<string, ReadonlyMap<string, string>>();
-	const preferred = new LRUCache<string, string>({max: maxPreferred});
+	const incarnationsByService = new Map<string, ReadonlyMap<string, string>>();
+	const preferred = new LRUCache<string, string>({max: maxRememberedParts});
 	let endpoints: readonly ListedEndpoint[] = [];
 
-	const membersOf = (service: string): ReadonlyMap<string, string> => {
-		const known = members.get(service);
-		if (known) {
-			return known;
+	const incarnationsOf = (service: string): ReadonlyMap<string, string> => {
+		const cached = incarnationsByService.get(service);
+		if (cached) {
+			return cached;
 		}
 
 		const staying = endpoints.filter(({serves, isLeaving}) => !isLeaving && serves.includes(service));
 		const found = new Map(staying.map(({instance, id}) => [instance, id]));
-		members.set(service, found);
+		incarnationsByService.set(service, found);
 		return found;
 	};
 
 	return {
 		list(next) {
 			endpoints = next;
-			members.clear();
+			incarnationsByService.clear();
 			preferred.clear();
 		},
-		of(service, part) {
+		find(service, part) {
 			const key = `${service}\n${part}`;
-			const known = preferred.get(key);
-			if (known !== undefined) {
-				return known;
+			const cached = preferred.get(key);
+			if (cached !== undefined) {
+				return cached;
 			}
 
-			const lives = membersOf(service);
-			const name = firstByRendezvous(part, [...lives.keys()]);
-			const found = name === undefined ? undefined : lives.get(name);
+			const incarnations = incarnationsOf(service);
+			const name = firstByRendezvous(part, [...incarnations.keys()]);
+			const found = name === undefined ? undefined : incarnations.get(name);
 			preferred.set(key, found);
 			return found;
 		},
--- a/packages/entry/src/lib/choice/create-prefix-cache-estimate.ts
+++ b/packages/entry/src/lib/choice/create-prefix-cache-estimate.ts
@@ -11,19 +11,19 @@
 
 /** Creates an estimate from this host's own sends, and from the endpoint that all hosts prefer for a prompt without asking each other. */
 export const createPrefixCacheEstimate = (): PrefixCacheEstimate => {
-	const held = new LRUCache<string, true>({max: maxParts});
-	const nameOf = (endpoint: string, part: PromptPart): string => `${endpoint}\n${part.id}`;
+	const cachedParts = new LRUCache<string, true>({max: maxParts});
+	const keyOf = (endpoint: string, part: PromptPart): string => `${endpoint}\n${part.id}`;
 
 	return {
-		note(endpoint, parts) {
+		noteSent(endpoint, parts) {
 			for (const part of sharedParts(parts)) {
-				held.set(nameOf(endpoint, part), true);
+				cachedParts.set(keyOf(endpoint, part), true);
 			}
 		},
 		cachedTokens(endpoint, parts, preferred) {
 			let tokens = 0;
 			for (const part of sharedParts(parts)) {
-				if (endpoint !== preferred && !held.has(nameOf(endpoint, part))) {
+				if (endpoint !== preferred && !cachedParts.has(keyOf(endpoint, part))) {
 					break;
 				}
 
--- a/packages/entry/src/lib/choice/create-warmup-rules.ts
+++ b/packages/entry/src/lib/choice/create-warmup-rules.ts
@@ -5,7 +5,7 @@
 import type {HostNames} from './host-names.js';
 
 /** Endpoints for which it is remembered whether this host sends there while they are cold: a bound on memory. */
-const maxEndpoints = 5000;
+const maxRememberedEndpoints = 5000;
 
 type Options = {
 	readonly bound: Bounds['warmup'];
@@ -16,8 +16,8 @@
 
 /** Creates what knows how this host may use endpoints that warm up; `undefined` for services that set no bound on it. */
 export const createWarmupRules = ({bound, serviceOf, hosts}: Options): ((service: string, reopenedAt: ReadonlyMap<string, number>) => WarmupRules | undefined) => {
-	const senders = new LRUCache<string, boolean>({max: maxEndpoints});
-	let known: HostNames | undefined;
+	const isSenderByKey = new LRUCache<string, boolean>({max: maxRememberedEndpoints});
+	let knownHosts: HostNames | undefined;
 
 	const isSender = (endpoint: string, perSecond: number): boolean => {
 		const names = hosts();
@@ -25,19 +25,19 @@
 			return false;
 		}
 
-		if (names !== known) {
-			known = names;
-			senders.clear();
+		if (names !== knownHosts) {
+			knownHosts = names;
+			isSenderByKey.clear();
 		}
 
 		const key = `${perSecond} ${endpoint}`;
-		const remembered = senders.get(key);
-		if (remembered !== undefined) {
-			return remembered;
+		const cached = isSenderByKey.get(key);
+		if (cached !== undefined) {
+			return cached;
 		}
 
 		const found = isColdSender(endpoint, {...names, perSecond});
-		senders.set(key, found);
+		isSenderByKey.set(key, found);
 		return found;
 	};
 
--- a/packages/entry/src/lib/choice/pick-service.ts
+++ b/packages/entry/src/lib/choice/pick-service.ts
@@ -3,10 +3,10 @@
 /** Picks a service of the route by weight. `random` is from 0 up to 1. */
 export const pickService = ({services}: Route, random: number): string | undefined => {
 	const total = services.reduce((sum, {weight}) => sum + weight, 0);
-	let rest = random * total;
+	let remaining = random * total;
 	for (const {service, weight} of services) {
-		rest -= weight;
-		if (rest < 0) {
+		remaining -= weight;
+		if (remaining < 0) {
 			return service;
 		}
 	}
--- a/packages/entry/src/lib/choice/prefix-cache-estimate.ts
+++ b/packages/entry/src/lib/choice/prefix-cache-estimate.ts
@@ -8,7 +8,7 @@
 */
 export type PrefixCacheEstimate = {
 	/** Notes that a prompt was sent to an endpoint. */
-	readonly note: (endpoint: string, parts: readonly PromptPart[]) => void;
+	readonly noteSent: (endpoint: string, parts: readonly PromptPart[]) => void;
 	/** Tokens of the prompt that the endpoint is estimated to hold. `preferred`: where every host sends such prompts first. */
 	readonly cachedTokens: (endpoint: string, parts: readonly PromptPart[], preferred: string | undefined) => number;
 };
--- a/packages/entry/src/test/cold-endpoint.test.ts
+++ b/packages/entry/src/test/cold-endpoint.test.ts
@@ -14,24 +14,24 @@
 import {makeConfig, startHost} from './lib/start-host.js';
 
 const hostCount = 6;
-const requestsOfHost = 10;
+const requestsPerHost = 10;
 
 /** What the endpoint bears within a second while it is cold. */
-const mostWithinSecond = 14;
+const maxRequestsPerSecond = 14;
 
 /** More than the spacing of a host's requests at a cold endpoint, in ms. */
-const spacingMs = 1500;
+const beyondColdIntervalMs = 1500;
 
 const coldService = {
 	name: 's', maxConnections: 100, tokensPerEvent: 0, warmupMs: 30_000, warmupPerSecond: 6.6,
 };
 
 /** Falls over for good once it got more than it bears: all requests of the test come within a second. */
-const coldAnswer = (): Answer => {
+const createColdResponder = (): Answer => {
 	let count = 0;
 	return (_req, res) => {
 		count++;
-		res.writeHead(count > mostWithinSecond ? 500 : 200);
+		res.writeHead(count > maxRequestsPerSecond ? 500 : 200);
 		res.end('fine');
 	};
 };
@@ -39,7 +39,7 @@
 test('a cold endpoint gets from all hosts together what it bears, and the rest is refused at once', async t => {
 	const peers = new Map<string, ListedPeer>();
 	const clock = createHandClock();
-	const endpoint = await startEndpoint('cold', coldAnswer());
+	const endpoint = await startEndpoint('cold', createColdResponder());
 	const store = createMemoryRightsStore();
 	const hosts = await Promise.all(Array.from({length: hostCount}, async (_, index) => startHost(store, {
 		host: `edge-${index}`, peers, now: clock.now, schedule: clock.schedule, warmup: {overage: 1.5, slack: 5},
@@ -56,12 +56,12 @@
 		entry.listEndpoints([{...endpoint.listed, coldUntil}]);
 	}
 
-	clock.advance(spacingMs);
-	const answers = await Promise.all(hosts.flatMap(({callers}) => Array.from({length: requestsOfHost}, async () => callHost(callers))));
-	const served = answers.filter(({status}) => status === 200);
-	const refused = answers.filter(({status}) => status === 503);
+	clock.advance(beyondColdIntervalMs);
+	const responses = await Promise.all(hosts.flatMap(({callers}) => Array.from({length: requestsPerHost}, async () => callHost(callers))));
+	const served = responses.filter(({status}) => status === 200);
+	const refused = responses.filter(({status}) => status === 503);
 	t.is(served.length, 4);
-	t.is(refused.length, answers.length - served.length);
+	t.is(refused.length, responses.length - served.length);
 	t.is(endpoint.seen.length, 4, 'one of each of the hosts that send there');
 	for (const {body} of refused) {
 		t.like(JSON.parse(body), {error: {code: 'endpoints_cold', ran: 'not_run'}});
--- a/packages/entry/src/test/create-endpoint-chooser.test.ts
+++ b/packages/entry/src/test/create-endpoint-chooser.test.ts
@@ -8,46 +8,46 @@
 
 const prompt = [{id: 'shared', tokens: 100_000}, {id: 'own', tokens: 10}];
 
-const ask = (parts: readonly PromptPart[], tried: readonly string[], avoidedHalls: readonly string[]) => ({
+const requestWith = (parts: readonly PromptPart[], tried: readonly string[], avoidedHalls: readonly string[]) => ({
 	service: 's', parts, tried, avoidedHalls, regions: [],
 });
 
 test('endpoints of a hall that is out of reach are not chosen; those of one that seems so are a last resort', t => {
-	let lost = '';
-	const chooser = createEndpointChooser({hall: 'a', isLost: hall => hall === lost, now: () => 0});
+	let unreachableHall = '';
+	const chooser = createEndpointChooser({hall: 'a', isLost: hall => hall === unreachableHall, now: () => 0});
 	chooser.list([endpoint('near', 'a'), endpoint('far', 'b')]);
 	for (let i = 0; i < 5; i++) {
 		chooser.noteStarted('near', []);
 	}
 
-	t.is(chooser.choose(ask([], [], []))?.endpoint.id, 'far');
-	t.is(chooser.choose(ask([], [], ['b']))?.endpoint.id, 'near');
-	lost = 'b';
-	t.is(chooser.choose(ask([], [], []))?.endpoint.id, 'near');
-	t.is(chooser.choose(ask(prompt, ['near'], [])), undefined);
-	lost = '';
-	t.is(chooser.choose(ask(prompt, ['near'], ['b']))?.endpoint.id, 'far');
+	t.is(chooser.choose(requestWith([], [], []))?.endpoint.id, 'far');
+	t.is(chooser.choose(requestWith([], [], ['b']))?.endpoint.id, 'near');
+	unreachableHall = 'b';
+	t.is(chooser.choose(requestWith([], [], []))?.endpoint.id, 'near');
+	t.is(chooser.choose(requestWith(prompt, ['near'], [])), undefined);
+	unreachableHall = '';
+	t.is(chooser.choose(requestWith(prompt, ['near'], ['b']))?.endpoint.id, 'far');
 });
 
-const lifeOf = (name: string, born: number) => ({...endpoint(name, 'a'), id: `${name}@${born}`, slots: 8});
+const incarnationOf = (name: string, born: number) => ({...endpoint(name, 'a'), id: `${name}@${born}`, slots: 8});
 const names = ['e1', 'e2', 'e3', 'e4'];
 
 test('a new life of an endpoint is believed to hold no prompt that the old one read', t => {
 	const chooser = createEndpointChooser({hall: 'a', isLost: () => false, now: () => 0});
-	chooser.list(names.map(name => lifeOf(name, 1)));
-	const preferred = chooser.choose(ask(prompt, [], []))!.endpoint;
+	chooser.list(names.map(name => incarnationOf(name, 1)));
+	const preferred = chooser.choose(requestWith(prompt, [], []))!.endpoint;
 	chooser.noteStarted(preferred.id, prompt);
 	// Read elsewhere once as well: that it is held there is known from this host's own send only.
-	const other = chooser.choose(ask(prompt, [preferred.id], []))!.endpoint;
+	const other = chooser.choose(requestWith(prompt, [preferred.id], []))!.endpoint;
 	chooser.noteStarted(other.id, prompt);
-	chooser.list(names.map(name => lifeOf(name, name === other.instance ? 2 : 1)));
-	t.regex(chooser.choose(ask(prompt, [preferred.id], []))!.reason, / cached=0\//);
+	chooser.list(names.map(name => incarnationOf(name, name === other.instance ? 2 : 1)));
+	t.regex(chooser.choose(requestWith(prompt, [preferred.id], []))!.reason, / cached=0\//);
 });
 
 test('a new life of an endpoint stays the preferred one of its prompts', t => {
 	const chooser = createEndpointChooser({hall: 'a', isLost: () => false, now: () => 0});
-	chooser.list(names.map(name => lifeOf(name, 1)));
-	const preferred = chooser.choose(ask(prompt, [], []))!.endpoint;
-	chooser.list(names.map(name => lifeOf(name, name === preferred.instance ? 2 : 1)));
-	t.is(chooser.choose(ask(prompt, [], []))!.endpoint.id, `${preferred.instance}@2`);
+	chooser.list(names.map(name => incarnationOf(name, 1)));
+	const preferred = chooser.choose(requestWith(prompt, [], []))!.endpoint;
+	chooser.list(names.map(name => incarnationOf(name, name === preferred.instance ? 2 : 1)));
+	t.is(chooser.choose(requestWith(prompt, [], []))!.endpoint.id, `${preferred.instance}@2`);
 });
--- a/packages/entry/src/test/evacuated-halls.test.ts
+++ b/packages/entry/src/test/evacuated-halls.test.ts
@@ -15,36 +15,36 @@
 import {startEndpoint, type Answer, type TestEndpoint} from './lib/start-endpoint.js';
 import {makeConfig, makeRoute, startHost} from './lib/start-host.js';
 
-const requests = 20;
+const requestCount = 20;
 
 /** More than any spacing of requests at a cold endpoint, in ms. */
-const longMs = 5000;
+const beyondColdIntervalMs = 5000;
 
-const ok: Answer = (_req, res) => {
+const respondOk: Answer = (_req, res) => {
 	res.end('fine');
 };
 
-const warming = {
+const warmingService = {
 	name: 's', maxConnections: 100, tokensPerEvent: 0, warmupMs: 3000, warmupPerSecond: 6.6,
 };
 
 type Scope = {teardown: (end: () => Promise<void>) => void};
-type Change = Parameters<typeof makeConfig>[0];
+type ConfigChanges = Parameters<typeof makeConfig>[0];
 
-const launch = async (t: Scope, {near = ok, far = ok, config = {}}: {near?: Answer; far?: Answer; config?: Change} = {}) => {
+const startHostAndEndpoints = async (t: Scope, {near = respondOk, far = respondOk, config = {}}: {near?: Answer; far?: Answer; config?: ConfigChanges} = {}) => {
 	const clock = createHandClock();
-	const [nearOne, farOne] = await Promise.all([startEndpoint('near', near, 'hall-a'), startEndpoint('far', far, 'hall-b')]);
+	const [nearEndpoint, farEndpoint] = await Promise.all([startEndpoint('near', near, 'hall-a'), startEndpoint('far', far, 'hall-b')]);
 	const host = await startHost(createMemoryRightsStore(), {now: clock.now, schedule: clock.schedule, warmup: {overage: 1.5, slack: 5}});
 	t.teardown(async () => {
 		await host.entry.kill();
-		nearOne.close();
-		farOne.close();
+		nearEndpoint.close();
+		farEndpoint.close();
 	});
 	host.entry.configure(makeConfig(config));
-	host.entry.listEndpoints([nearOne.listed, farOne.listed]);
-	const sendSome = async (): Promise<ReadonlySet<number>> => {
+	host.entry.listEndpoints([nearEndpoint.listed, farEndpoint.listed]);
+	const sendRequests = async (): Promise<ReadonlySet<number>> => {
 		const statuses = new Set<number>();
-		for (let i = 0; i < requests; i++) {
+		for (let i = 0; i < requestCount; i++) {
 			const {status} = await callHost(host.callers);
 			statuses.add(status);
 			await nextTurn();
@@ -54,24 +54,24 @@
 	};
 
 	return {
-		host, clock, near: nearOne, far: farOne, sendSome,
+		host, clock, near: nearEndpoint, far: farEndpoint, sendRequests,
 	};
 };
 
-const seenBy = ({seen}: TestEndpoint): number => seen.length;
+const requestsSeenBy = ({seen}: TestEndpoint): number => seen.length;
 
 test('a hall that is evacuated gets no request; once the order is taken back it gets them again', async t => {
-	const {host, near, far, sendSome} = await launch(t);
+	const {host, near, far, sendRequests} = await startHostAndEndpoints(t);
 	host.entry.evacuateHalls(new Set(['hall-a']));
-	t.deepEqual(await sendSome(), new Set([200]));
-	t.deepEqual([seenBy(near), seenBy(far)], [0, requests]);
+	t.deepEqual(await sendRequests(), new Set([200]));
+	t.deepEqual([requestsSeenBy(near), requestsSeenBy(far)], [0, requestCount]);
 	host.entry.evacuateHalls(new Set());
-	await sendSome();
-	t.deepEqual([seenBy(near), seenBy(far)], [requests, requests]);
+	await sendRequests();
+	t.deepEqual([requestsSeenBy(near), requestsSeenBy(far)], [requestCount, requestCount]);
 });
 
 test('what runs in a hall that is evacuated ends whole', async t => {
-	const {host, near} = await launch(t, {
+	const {host, near} = await startHostAndEndpoints(t, {
 		near(_req, res) {
 			res.write('the first ');
 			host.entry.evacuateHalls(new Set(['hall-a']));
@@ -82,40 +82,40 @@
 	});
 	const {status, body, isWhole} = await callHost(host.callers);
 	t.like({status, body, isWhole}, {status: 200, body: 'the first and the last', isWhole: true});
-	t.is(seenBy(near), 1);
+	t.is(requestsSeenBy(near), 1);
 });
 
 test('where all halls are evacuated, callers are refused at once, with a code of its own and a time to come back', async t => {
-	const {host, near, far} = await launch(t);
+	const {host, near, far} = await startHostAndEndpoints(t);
 	host.entry.evacuateHalls(new Set(['hall-a', 'hall-b']));
 	const {status, headers, body} = await callHost(host.callers);
 	t.is(status, 503);
 	t.true(Number(headers['retry-after']) > 0);
 	t.like(JSON.parse(body), {error: {code: 'endpoints_evacuated', ran: 'not_run'}});
-	t.is(seenBy(near) + seenBy(far), 0);
+	t.is(requestsSeenBy(near) + requestsSeenBy(far), 0);
 });
 
 test('an order for a hall that nobody knows changes nothing', async t => {
-	const {host, near, sendSome} = await launch(t);
+	const {host, near, sendRequests} = await startHostAndEndpoints(t);
 	host.entry.evacuateHalls(new Set(['hall-z']));
-	t.deepEqual(await sendSome(), new Set([200]));
-	t.is(seenBy(near), requests);
+	t.deepEqual(await sendRequests(), new Set([200]));
+	t.is(requestsSeenBy(near), requestCount);
 });
 
 test('endpoints of a hall that is reopened are taken to be cold for a while', async t => {
-	const {host, clock, near, far, sendSome} = await launch(t, {config: {services: new Map([['s', warming]])}});
+	const {host, clock, near, far, sendRequests} = await startHostAndEndpoints(t, {config: {services: new Map([['s', warmingService]])}});
 	host.entry.evacuateHalls(new Set(['hall-a']));
-	clock.advance(longMs);
+	clock.advance(beyondColdIntervalMs);
 	host.entry.evacuateHalls(new Set());
-	t.deepEqual(await sendSome(), new Set([200]));
-	t.deepEqual([seenBy(near), seenBy(far)], [0, requests]);
-	clock.advance(warming.warmupMs);
-	await sendSome();
-	t.is(seenBy(near), requests, 'warm by now');
+	t.deepEqual(await sendRequests(), new Set([200]));
+	t.deepEqual([requestsSeenBy(near), requestsSeenBy(far)], [0, requestCount]);
+	clock.advance(warmingService.warmupMs);
+	await sendRequests();
+	t.is(requestsSeenBy(near), requestCount, 'warm by now');
 });
 
 test('a host that operators may order to evacuate halls sends nothing before it knows their orders', async t => {
-	const endpoint = await startEndpoint('near', ok);
+	const endpoint = await startEndpoint('near', respondOk);
 	const host = await startHost(createMemoryRightsStore(), {hasEvacuations: true});
 	t.teardown(async () => {
 		await host.entry.kill();
@@ -139,7 +139,7 @@
 });
 
 test('where all endpoints are cold and others send there, callers are told at once when they are warm', async t => {
-	const {host, clock, near, far} = await launch(t, {config: {services: new Map([['s', warming]])}});
+	const {host, clock, near, far} = await startHostAndEndpoints(t, {config: {services: new Map([['s', warmingService]])}});
 	// The list of hosts is not known yet, so this host sends to no cold endpoint.
 	const coldUntil = clock.now() + 2000;
 	host.entry.listEndpoints([{...near.listed, coldUntil}, {...far.listed, coldUntil: coldUntil + 500}]);
@@ -147,14 +147,14 @@
 	t.is(status, 503);
 	t.is(Number(headers['retry-after']), 2);
 	t.like(JSON.parse(body), {error: {code: 'endpoints_cold', ran: 'not_run'}});
-	t.is(seenBy(near) + seenBy(far), 0);
+	t.is(requestsSeenBy(near) + requestsSeenBy(far), 0);
 });
 
 test('a route and an organisation keep to their regions', async t => {
-	const {host, near, far, sendSome} = await launch(t, {config: {routes: [makeRoute({allowedRegions: ['north', 'south']})]}});
+	const {host, near, far, sendRequests} = await startHostAndEndpoints(t, {config: {routes: [makeRoute({allowedRegions: ['north', 'south']})]}});
 	host.entry.listEndpoints([{...near.listed, region: 'west'}, {...far.listed, region: 'south'}]);
-	t.deepEqual(await sendSome(), new Set([200]));
-	t.deepEqual([seenBy(near), seenBy(far)], [0, requests]);
+	t.deepEqual(await sendRequests(), new Set([200]));
+	t.deepEqual([requestsSeenBy(near), requestsSeenBy(far)], [0, requestCount]);
 	host.entry.configure(makeConfig({
 		version: 2,
 		routes: [makeRoute({allowedRegions: ['north', 'south']})],
@@ -162,6 +162,6 @@
 			name: 'org', limit: undefined, priority: undefined, allowedRegions: ['north'],
 		}]]),
 	}));
-	t.deepEqual(await sendSome(), new Set([503]));
-	t.deepEqual([seenBy(near), seenBy(far)], [0, requests]);
+	t.deepEqual(await sendRequests(), new Set([503]));
+	t.deepEqual([requestsSeenBy(near), requestsSeenBy(far)], [0, requestCount]);
 });
--- a/packages/routing/src/endpoints/choose-endpoint.ts
+++ b/packages/routing/src/endpoints/choose-endpoint.ts
@@ -21,16 +21,16 @@
 
 @param now Monotonic ms.
 */
-export const chooseEndpoint = <R extends EndpointRequest>(table: EndpointTable, request: R, now: number, rate: ScoreEndpoint<R>): EndpointChoice | undefined => {
+export const chooseEndpoint = <R extends EndpointRequest>(table: EndpointTable, request: R, now: number, scoreEndpoint: ScoreEndpoint<R>): EndpointChoice | undefined => {
 	let best: ScoredEndpoint | undefined;
 	for (const state of table.values()) {
 		if (request.tried.includes(state.info.id) || findExclusion(state, request, now)) {
 			continue;
 		}
 
-		const rated = rate(state, request, now);
-		if (rated && (!best || isBetter(rated, best))) {
-			best = rated;
+		const scored = scoreEndpoint(state, request, now);
+		if (scored && (!best || isBetter(scored, best))) {
+			best = scored;
 		}
 	}
 
--- a/packages/routing/src/endpoints/endpoint-state.ts
+++ b/packages/routing/src/endpoints/endpoint-state.ts
@@ -18,7 +18,7 @@
 	/** This host's own open requests there: the one figure that does not lag. */
 	readonly inFlight: number;
 	/** Requests that this host ever sent there. */
-	readonly started: number;
+	readonly startedCount: number;
 	/** When this host last sent a request there, or first knew of the endpoint, in monotonic ms. */
 	readonly lastStartedAt: number;
 	readonly report?: LoadReport;
--- a/packages/routing/src/endpoints/find-exclusion.ts
+++ b/packages/routing/src/endpoints/find-exclusion.ts
@@ -1,16 +1,16 @@
-import {coldSpacingMs} from './cold-spacing-ms.js';
+import {coldRequestIntervalMs} from './cold-request-interval-ms.js';
 import type {EndpointExclusion} from './endpoint-exclusion.js';
 import type {EndpointRequest} from './endpoint-request.js';
 import type {EndpointState} from './endpoint-state.js';
 import {warmAt} from './warm-at.js';
 
 /** What of a request decides which endpoints are open to it. What it has tried is left to the choice. */
-type Inputs = Omit<EndpointRequest, 'tried'>;
+type ExclusionRequest = Omit<EndpointRequest, 'tried'>;
 
 const isInRegions = ({region}: EndpointState['info'], regions: EndpointRequest['regions'] = []): boolean =>
 	regions.every(allowed => region !== undefined && allowed.includes(region));
 
-const findColdClosure = (state: EndpointState, warmup: Inputs['warmup'], now: number): EndpointExclusion | undefined => {
+const findColdExclusion = (state: EndpointState, warmup: ExclusionRequest['warmup'], now: number): EndpointExclusion | undefined => {
 	const until = warmup ? warmAt(state, warmup) : 0;
 	if (!warmup || until <= now) {
 		return undefined;
@@ -20,12 +20,12 @@
 		return {reason: 'cold', until};
 	}
 
-	const nextAt = state.lastStartedAt + coldSpacingMs;
+	const nextAt = state.lastStartedAt + coldRequestIntervalMs;
 	return nextAt <= now ? undefined : {reason: 'cold', until: Math.min(nextAt, until)};
 };
 
 // After an ejection, one request at a time probes the endpoint.
-const isProbed = ({failures, ejectedUntil, inFlight}: EndpointState): boolean => failures > 0 && ejectedUntil > 0 && inFlight > 0;
+const isBeingProbed = ({failures, ejectedUntil, inFlight}: EndpointState): boolean => failures > 0 && ejectedUntil > 0 && inFlight > 0;
 
 /**
 Decides whether an endpoint may be sent a request, and if not, why: `undefined` where it may. Pure.
@@ -35,7 +35,7 @@
 
 @param now Monotonic ms.
 */
-export const findExclusion = (state: EndpointState, request: Inputs, now: number): EndpointExclusion | undefined => {
+export const findExclusion = (state: EndpointState, request: ExclusionRequest, now: number): EndpointExclusion | undefined => {
 	const {info, isListed, ejectedUntil, backoffUntil, rateLimitedUntil} = state;
 	if (!isListed) {
 		return {reason: 'unlisted'};
@@ -61,7 +61,7 @@
 		return {reason: 'out_of_reach'};
 	}
 
-	if (ejectedUntil > now || isProbed(state)) {
+	if (ejectedUntil > now || isBeingProbed(state)) {
 		return {reason: 'ejected'};
 	}
 
@@ -73,5 +73,5 @@
 		return {reason: 'limited', until: rateLimitedUntil};
 	}
 
-	return findColdClosure(state, request.warmup, now);
+	return findColdExclusion(state, request.warmup, now);
 };
--- a/packages/routing/src/endpoints/is-cold-sender.ts
+++ b/packages/routing/src/endpoints/is-cold-sender.ts
@@ -3,9 +3,9 @@
 /**
 Hosts that may be up and missing in a host's list of hosts. Each may take itself for a sender beside those that the others know of.
 */
-const missingHosts = 10;
+const maxMissingHosts = 10;
 
-type Inputs = {
+type Options = {
 	/** This host, and all that it knows of, by a name that outlives their processes. */
 	readonly host: string;
 	readonly hosts: readonly string[];
@@ -21,7 +21,7 @@
 list lacks `missingHosts` at most, no more than `perSecond` hosts take themselves for senders. Hosts of a list that ended only make
 the senders fewer.
 */
-export const isColdSender = (endpoint: string, {host, hosts, perSecond}: Inputs): boolean => {
-	const senders = Math.floor(perSecond) - missingHosts;
-	return senders > 0 && rankByRendezvous(`cold ${endpoint}`, hosts).slice(0, senders).includes(host);
+export const isColdSender = (endpoint: string, {host, hosts, perSecond}: Options): boolean => {
+	const senderCount = Math.floor(perSecond) - maxMissingHosts;
+	return senderCount > 0 && rankByRendezvous(`cold ${endpoint}`, hosts).slice(0, senderCount).includes(host);
 };
--- a/packages/routing/src/endpoints/load-report.ts
+++ b/packages/routing/src/endpoints/load-report.ts
@@ -3,7 +3,7 @@
 	/** Requests that run or wait there, from all hosts. */
 	readonly total: number;
 	/** This host's own requests there at the time of the report. */
-	readonly ownThen: number;
+	readonly ownInFlight: number;
 	/** Monotonic ms at which it was received. */
-	readonly at: number;
+	readonly receivedAt: number;
 };
--- a/packages/routing/src/endpoints/step-endpoints.ts
+++ b/packages/routing/src/endpoints/step-endpoints.ts
@@ -8,22 +8,22 @@
 const failuresBeforeEjection = 3;
 
 /** How long a first ejection lasts, in ms, doubled with each further failure. */
-const firstEjectionMs = 1000;
+const initialEjectionMs = 1000;
 
 /** The longest ejection, in ms. */
-const longestEjectionMs = 30_000;
+const maxEjectionMs = 30_000;
 
 /** The time of a request that is assumed of an endpoint that has not answered yet, in ms. */
-const assumedServiceMs = 1000;
+const initialServiceMs = 1000;
 
 /** The time from token to token that is assumed of it, in ms. */
-const assumedMsPerToken = 20;
+const initialMsPerToken = 20;
 
 /**
 How long the word of an endpoint that it leaves is remembered after its entry went, in ms: an entry that lapsed while the store was
 away comes back, as ready.
 */
-const leavingMemoryMs = 600_000;
+const leavingRetentionMs = 600_000;
 
 const newState = (info: EndpointInfo, now: number): EndpointState => ({
 	info,
@@ -33,21 +33,21 @@
 	backoffUntil: 0,
 	rateLimitedUntil: 0,
 	inFlight: 0,
-	started: 0,
+	startedCount: 0,
 	lastStartedAt: now,
-	serviceMs: assumedServiceMs,
-	msPerToken: assumedMsPerToken,
+	serviceMs: initialServiceMs,
+	msPerToken: initialMsPerToken,
 	failures: 0,
 	ejectedUntil: 0,
 });
 
-const ejectionEnd = (failures: number, now: number): number => {
+const ejectedUntilAfter = (failures: number, now: number): number => {
 	if (failures < failuresBeforeEjection) {
 		return 0;
 	}
 
 	const doublings = failures - failuresBeforeEjection;
-	return now + Math.min(longestEjectionMs, firstEjectionMs * (2 ** doublings));
+	return now + Math.min(maxEjectionMs, initialEjectionMs * (2 ** doublings));
 };
 
 const afterSuccess = (state: EndpointState, event: EndpointEvent & {type: 'succeeded'}): EndpointState => ({
@@ -60,22 +60,22 @@
 });
 
 const afterFailure = (state: EndpointState, failures: number, now: number): EndpointState => ({
-	...state, inFlight: state.inFlight - 1, failures, ejectedUntil: ejectionEnd(failures, now),
+	...state, inFlight: state.inFlight - 1, failures, ejectedUntil: ejectedUntilAfter(failures, now),
 });
 
-const listed = (state: EndpointState, info: EndpointInfo, now: number): EndpointState => ({
+const asListed = (state: EndpointState, info: EndpointInfo, now: number): EndpointState => ({
 	...state, info: {...info, isLeaving: info.isLeaving || state.hasAnnouncedLeaving}, isListed: true, listedAt: now,
 });
 
-const isRemembered = ({isListed, inFlight, hasAnnouncedLeaving, listedAt, backoffUntil}: EndpointState, now: number): boolean =>
-	isListed || inFlight > 0 || backoffUntil > now || (hasAnnouncedLeaving && now - listedAt < leavingMemoryMs);
+const isRetained = ({isListed, inFlight, hasAnnouncedLeaving, listedAt, backoffUntil}: EndpointState, now: number): boolean =>
+	isListed || inFlight > 0 || backoffUntil > now || (hasAnnouncedLeaving && now - listedAt < leavingRetentionMs);
 
 // Requests that were open when a list came without the endpoint are still to end, and it may be listed again before that.
-const afterList = (table: EndpointTable, endpoints: readonly EndpointInfo[], now: number): EndpointTable => {
-	const next = new Map(endpoints.map(info => [info.id, listed(table.get(info.id) ?? newState(info, now), info, now)]));
+const afterConfigured = (table: EndpointTable, endpoints: readonly EndpointInfo[], now: number): EndpointTable => {
+	const next = new Map(endpoints.map(info => [info.id, asListed(table.get(info.id) ?? newState(info, now), info, now)]));
 	for (const [id, state] of table) {
 		const unlisted = {...state, isListed: false};
-		if (!next.has(id) && isRemembered(unlisted, now)) {
+		if (!next.has(id) && isRetained(unlisted, now)) {
 			next.set(id, unlisted);
 		}
 	}
@@ -84,11 +84,11 @@
 };
 
 /** Moves one endpoint on by one event. `now` is monotonic ms. */
-const stepOne = (state: EndpointState, event: Exclude<EndpointEvent, {type: 'configured'}>, now: number): EndpointState => {
+const stepState = (state: EndpointState, event: Exclude<EndpointEvent, {type: 'configured'}>, now: number): EndpointState => {
 	switch (event.type) {
 		case 'started': {
 			return {
-				...state, inFlight: state.inFlight + 1, started: state.started + 1, lastStartedAt: now,
+				...state, inFlight: state.inFlight + 1, startedCount: state.startedCount + 1, lastStartedAt: now,
 			};
 		}
 
@@ -121,7 +121,7 @@
 		}
 
 		case 'reported': {
-			return {...state, report: {total: event.total, ownThen: state.inFlight, at: now}};
+			return {...state, report: {total: event.total, ownInFlight: state.inFlight, receivedAt: now}};
 		}
 	}
 };
@@ -137,7 +137,7 @@
 */
 export const stepEndpoints = (table: EndpointTable, event: EndpointEvent, now: number): EndpointTable => {
 	if (event.type === 'configured') {
-		return afterList(table, event.endpoints, now);
+		return afterConfigured(table, event.endpoints, now);
 	}
 
 	const state = table.get(event.endpoint);
@@ -146,8 +146,8 @@
 	}
 
 	const next = new Map(table);
-	const stepped = stepOne(state, event, now);
-	if (isRemembered(stepped, now)) {
+	const stepped = stepState(state, event, now);
+	if (isRetained(stepped, now)) {
 		next.set(event.endpoint, stepped);
 	} else {
 		next.delete(event.endpoint);
--- a/packages/routing/src/lib/estimate-load.ts
+++ b/packages/routing/src/lib/estimate-load.ts
@@ -5,7 +5,7 @@
 
 /** Requests now at an endpoint: this host's own, counted, and the others', as last reported. */
 export const estimateLoad = ({inFlight, report}: EndpointState, now: number): number => {
-	const isFresh = report !== undefined && now - report.at < staleAfterMs;
-	const others = isFresh ? Math.max(0, report.total - report.ownThen) : 0;
-	return inFlight + others;
+	const isFresh = report !== undefined && now - report.receivedAt < staleAfterMs;
+	const othersLoad = isFresh ? Math.max(0, report.total - report.ownInFlight) : 0;
+	return inFlight + othersLoad;
 };
--- a/packages/routing/src/lib/smooth.ts
+++ b/packages/routing/src/lib/smooth.ts
@@ -1,5 +1,5 @@
 /** The weight of a new sample: about five count. */
-const weight = 0.2;
+const sampleWeight = 0.2;
 
 /** An exponentially smoothed average: recent samples count most. */
-export const smooth = (average: number, sample: number): number => average + (weight * (sample - average));
+export const smooth = (average: number, sample: number): number => average + (sampleWeight * (sample - average));
--- a/packages/routing/src/request-limits/coordinators-of.ts
+++ b/packages/routing/src/request-limits/coordinators-of.ts
@@ -9,7 +9,7 @@
 /** Hosts that hand out permits for one endpoint: the first, and one for those that cannot reach it. */
 const coordinatorCount = 2;
 
-const rank = (endpoint: string, hosts: readonly Host[]): readonly string[] =>
+const rankAddresses = (endpoint: string, hosts: readonly Host[]): readonly string[] =>
 	rankByRendezvous(`limit ${endpoint}`, [...new Set(hosts.map(({address}) => address))]);
 
 /**
@@ -19,7 +19,7 @@
 processes, so a restart changes nothing.
 */
 export const coordinatorsOf = ({id, hall}: {readonly id: string; readonly hall: string}, hosts: readonly Host[]): readonly string[] => {
-	const near = rank(id, hosts.filter(host => host.hall === hall));
-	const far = near.length < coordinatorCount ? rank(id, hosts.filter(host => host.hall !== hall)) : [];
-	return [...near, ...far].slice(0, coordinatorCount);
+	const sameHall = rankAddresses(id, hosts.filter(host => host.hall === hall));
+	const otherHalls = sameHall.length < coordinatorCount ? rankAddresses(id, hosts.filter(host => host.hall !== hall)) : [];
+	return [...sameHall, ...otherHalls].slice(0, coordinatorCount);
 };
--- a/packages/routing/src/request-limits/step-request-limit.ts
+++ b/packages/routing/src/request-limits/step-request-limit.ts
@@ -1,10 +1,10 @@
 import type {RequestLimit} from './request-limit.js';
 
 /** A limit at or above this binds no endpoint, in requests a second: it counts as none. */
-const bindingBelowPerSecond = 1000;
+const unlimitedFromPerSecond = 1000;
 
-const toBinding = (limit: RequestLimit): RequestLimit =>
-	limit.perSecond !== undefined && limit.perSecond >= bindingBelowPerSecond ? {...limit, perSecond: undefined} : limit;
+const withoutNonBinding = (limit: RequestLimit): RequestLimit =>
+	limit.perSecond !== undefined && limit.perSecond >= unlimitedFromPerSecond ? {...limit, perSecond: undefined} : limit;
 
 const rateOf = ({perSecond = Number.POSITIVE_INFINITY}: RequestLimit): number => perSecond;
 
@@ -16,8 +16,8 @@
 
 @param known `undefined` where the endpoint never named a limit.
 */
-export const stepRequestLimit = (known: RequestLimit | undefined, said: RequestLimit): RequestLimit => {
-	const next = toBinding(said);
+export const stepRequestLimit = (known: RequestLimit | undefined, received: RequestLimit): RequestLimit => {
+	const next = withoutNonBinding(received);
 	if (!known || next.askedAt > known.readAt) {
 		return next;
 	}
--- a/packages/routing/src/request-limits/take-token.ts
+++ b/packages/routing/src/request-limits/take-token.ts
@@ -4,7 +4,7 @@
 const burstSeconds = 0.25;
 
 /** What sums of fractions may be off by. */
-const rounding = 1e-6;
+const roundingTolerance = 1e-6;
 
 type TokenResult = {
 	readonly bucket: TokenBucket;
@@ -25,10 +25,10 @@
 */
 export const takeToken = (bucket: TokenBucket | undefined, perSecond: number, now: number): TokenResult => {
 	const capacity = Math.max(1, perSecond * burstSeconds);
-	const {tokens: before, perSecond: lastPerSecond, countedAt} = bucket ?? {tokens: 0, perSecond, countedAt: now};
-	const seconds = Math.max(0, now - countedAt) / 1000;
-	const filled = Math.min(capacity, before + (seconds * Math.min(perSecond, lastPerSecond)));
-	const isTaken = filled >= 1 - rounding;
+	const {tokens: tokensBefore, perSecond: previousPerSecond, countedAt} = bucket ?? {tokens: 0, perSecond, countedAt: now};
+	const elapsedSeconds = Math.max(0, now - countedAt) / 1000;
+	const filled = Math.min(capacity, tokensBefore + (elapsedSeconds * Math.min(perSecond, previousPerSecond)));
+	const isTaken = filled >= 1 - roundingTolerance;
 	const tokens = isTaken ? Math.max(0, filled - 1) : filled;
 	return {
 		bucket: {tokens, perSecond, countedAt: now},
--- a/packages/routing/src/request-queue/empty-request-queue.ts
+++ b/packages/routing/src/request-queue/empty-request-queue.ts
@@ -3,8 +3,8 @@
 /** A queue in which nobody waits. */
 export const emptyRequestQueue: QueueState = {
 	waiting: [],
-	served: new Map(),
+	servedByOrganisation: new Map(),
 	credit: {quick: 0, normal: 0, slow: 0},
 	msPerStart: 10,
-	lastStartAt: 0,
+	lastStartedAt: 0,
 };
--- a/packages/routing/src/request-queue/queue-state.ts
+++ b/packages/routing/src/request-queue/queue-state.ts
@@ -5,10 +5,10 @@
 export type QueueState = {
 	readonly waiting: readonly QueuedRequest[];
 	/** Virtual service that each organisation has had, for fair shares. */
-	readonly served: ReadonlyMap<string, number>;
+	readonly servedByOrganisation: ReadonlyMap<string, number>;
 	/** Smooth weighted round robin among priorities. */
 	readonly credit: Readonly<Record<Priority, number>>;
 	/** Smoothed time from one start to the next while requests wait, in ms. */
 	readonly msPerStart: number;
-	readonly lastStartAt: number;
+	readonly lastStartedAt: number;
 };
--- a/packages/routing/src/retries/retry-window.ts
+++ b/packages/routing/src/retries/retry-window.ts
@@ -1,7 +1,7 @@
 /** Requests and repeats of one service at this host, in two halves of a sliding window. */
 export type RetryWindow = {
 	/** Monotonic ms at which the newer half began. */
-	readonly since: number;
+	readonly startedAt: number;
 	readonly requests: number;
 	readonly retries: number;
 	readonly previousRequests: number;
--- a/packages/routing/src/retries/step-retry-budget.ts
+++ b/packages/routing/src/retries/step-retry-budget.ts
@@ -4,7 +4,7 @@
 const creditPerRequest = 0.1;
 
 /** The most retries that can be saved up, so that a quiet time allows no burst. */
-const mostCredit = 10;
+const maxCredit = 10;
 
 /**
 Notes a request, or takes one retry out of the budget. `isAllowed` tells whether the retry may be made.
@@ -13,7 +13,7 @@
 */
 export const stepRetryBudget = ({credit}: RetryBudget, event: 'request' | 'retry'): {readonly budget: RetryBudget; readonly isAllowed: boolean} => {
 	if (event === 'request') {
-		return {budget: {credit: Math.min(mostCredit, credit + creditPerRequest)}, isAllowed: true};
+		return {budget: {credit: Math.min(maxCredit, credit + creditPerRequest)}, isAllowed: true};
 	}
 
 	return credit >= 1 ? {budget: {credit: credit - 1}, isAllowed: true} : {budget: {credit}, isAllowed: false};
--- a/packages/routing/src/retries/step-retry-window.ts
+++ b/packages/routing/src/retries/step-retry-window.ts
@@ -1,20 +1,20 @@
 import type {RetryWindow} from './retry-window.js';
 
 const emptyWindow: RetryWindow = {
-	since: 0, requests: 0, retries: 0, previousRequests: 0, previousRetries: 0,
+	startedAt: 0, requests: 0, retries: 0, previousRequests: 0, previousRetries: 0,
 };
 
-const moveOn = (window: RetryWindow, windowMs: number, now: number): RetryWindow => {
-	const age = now - window.since;
+const advanceWindow = (window: RetryWindow, windowMs: number, now: number): RetryWindow => {
+	const age = now - window.startedAt;
 	if (age < windowMs) {
 		return window;
 	}
 
 	return age < 2 * windowMs
 		? {
-			since: window.since + windowMs, requests: 0, retries: 0, previousRequests: window.requests, previousRetries: window.retries,
+			startedAt: window.startedAt + windowMs, requests: 0, retries: 0, previousRequests: window.requests, previousRetries: window.retries,
 		}
-		: {...emptyWindow, since: now};
+		: {...emptyWindow, startedAt: now};
 };
 
 /** What a service may get in repeats. */
@@ -24,7 +24,7 @@
 	readonly retryWindowMs: number;
 };
 
-type Step = {readonly window: RetryWindow; readonly isAllowed: boolean};
+type RetryDecision = {readonly window: RetryWindow; readonly isAllowed: boolean};
 
 /**
 Notes a request, or takes one repeat out of what the service may get.
@@ -33,13 +33,13 @@
 repeats itself. Each host keeps to its own part without asking: the ratio of its own requests. The slack is nobody's, so it is left.
 Repeats of up to two windows count against the requests of one, so that no sliding window holds too many.
 */
-export const stepRetryWindow = (before: RetryWindow | undefined, event: 'request' | 'repeat', {retryRatio, retryWindowMs}: RetryLimit, now: number): Step => {
-	const window = moveOn(before ?? {...emptyWindow, since: now}, retryWindowMs, now);
+export const stepRetryWindow = (before: RetryWindow | undefined, event: 'request' | 'repeat', {retryRatio, retryWindowMs}: RetryLimit, now: number): RetryDecision => {
+	const window = advanceWindow(before ?? {...emptyWindow, startedAt: now}, retryWindowMs, now);
 	if (event === 'request') {
 		return {window: {...window, requests: window.requests + 1}, isAllowed: true};
 	}
 
-	const allowed = retryRatio * Math.max(window.requests, window.previousRequests);
-	const isAllowed = window.retries + window.previousRetries + 1 <= allowed;
+	const maxRetries = retryRatio * Math.max(window.requests, window.previousRequests);
+	const isAllowed = window.retries + window.previousRetries + 1 <= maxRetries;
 	return {window: isAllowed ? {...window, retries: window.retries + 1} : window, isAllowed};
 };
--- a/packages/routing/src/scoring/score-by-affinity.ts
+++ b/packages/routing/src/scoring/score-by-affinity.ts
@@ -8,29 +8,29 @@
 What it costs to read one token of a prompt anew: its time at the engine, and the work it holds up beside it, in ms. More keeps
 prompts where they were read, less spreads load.
 */
-const msPerReadToken = 0.06;
+const msPerUncachedToken = 0.06;
 
 /** What each open request of this host adds to the wait at an endpoint, in ms. Other hosts' requests are alike. */
-const msPerOpenRequest = 25;
+const waitMsPerRequest = 25;
 
 /** What an endpoint of another hall costs more, in ms: the way there, and the price of traffic between halls. */
-const otherHallMs = 8;
+const otherHallPenaltyMs = 8;
 
 /** More than any wait: an endpoint in a hall that seems out of reach is a last resort. In ms. */
-const avoidedHallMs = 1_000_000;
+const avoidedHallPenaltyMs = 1_000_000;
 
 /** More than any wait: an endpoint that warms up bears little, and its caches are empty. In ms. */
-const coldEndpointMs = 1_000_000;
+const coldEndpointPenaltyMs = 1_000_000;
 
-const warmupCost = (state: EndpointState, {warmup}: AffinityRequest, now: number): number =>
-	warmup && warmAt(state, warmup) > now ? coldEndpointMs : 0;
+const warmupPenaltyMs = (state: EndpointState, {warmup}: AffinityRequest, now: number): number =>
+	warmup && warmAt(state, warmup) > now ? coldEndpointPenaltyMs : 0;
 
-const hallCost = (hall: string, request: AffinityRequest): number => {
+const hallPenaltyMs = (hall: string, request: AffinityRequest): number => {
 	if (hall === request.hall) {
 		return 0;
 	}
 
-	return request.avoidedHalls?.includes(hall) ? avoidedHallMs : otherHallMs;
+	return request.avoidedHalls?.includes(hall) ? avoidedHallPenaltyMs : otherHallPenaltyMs;
 };
 
 /**
@@ -41,14 +41,14 @@
 	const {info} = state;
 	const load = estimateLoad(state, now);
 	const cached = Math.min(request.promptTokens, request.cachedTokens(info.id));
-	const readMs = (request.promptTokens - cached) * msPerReadToken;
-	const waitMs = load * msPerOpenRequest;
-	const hallMs = hallCost(info.hall, request);
-	const coldMs = warmupCost(state, request, now);
+	const prefillMs = (request.promptTokens - cached) * msPerUncachedToken;
+	const waitMs = load * waitMsPerRequest;
+	const hallMs = hallPenaltyMs(info.hall, request);
+	const coldMs = warmupPenaltyMs(state, request, now);
 	return {
 		endpoint: info.id,
-		cost: readMs + waitMs + hallMs + coldMs,
-		hasCapacity: load < info.slots && hallMs < avoidedHallMs,
-		reason: () => `read_ms=${readMs.toFixed(0)} load=${load} cached=${cached}/${request.promptTokens} hall_ms=${hallMs} cold_ms=${coldMs}`,
+		cost: prefillMs + waitMs + hallMs + coldMs,
+		hasCapacity: load < info.slots && hallMs < avoidedHallPenaltyMs,
+		reason: () => `read_ms=${prefillMs.toFixed(0)} load=${load} cached=${cached}/${request.promptTokens} hall_ms=${hallMs} cold_ms=${coldMs}`,
 	};
 };
--- a/packages/routing/src/test/cold-endpoints.test.ts
+++ b/packages/routing/src/test/cold-endpoints.test.ts
@@ -17,25 +17,25 @@
 const endMs = 5000;
 const stepMs = 20;
 const slowestConnectMs = 250;
-const listLacks = 10;
+const missingPerList = 10;
 
-type Course = {
-	readonly count: number;
-	readonly ended: number;
+type Scenario = {
+	readonly hostCount: number;
+	readonly endedHostCount: number;
 	readonly perSecond: number;
 	/** Whether the lists lack the hosts that rank first, or others. */
-	readonly lacksFirst: boolean;
+	readonly isMissingFirst: boolean;
 	readonly seed: number;
-	readonly restarts: boolean;
+	readonly hasRestarts: boolean;
 };
 
-const course: fc.Arbitrary<Course> = fc.record({
-	count: fc.integer({min: 7, max: 200}),
-	ended: fc.integer({min: 0, max: 30}),
+const scenarios: fc.Arbitrary<Scenario> = fc.record({
+	hostCount: fc.integer({min: 7, max: 200}),
+	endedHostCount: fc.integer({min: 0, max: 30}),
 	perSecond: fc.double({min: 0, max: 40, noNaN: true}),
-	lacksFirst: fc.boolean(),
+	isMissingFirst: fc.boolean(),
 	seed: fc.integer(),
-	restarts: fc.boolean(),
+	hasRestarts: fc.boolean(),
 });
 
 /** Numbers from 0 up to 1 that follow from a seed. */
@@ -56,12 +56,12 @@
 }, now);
 
 /** When requests of one host arrive, in ms. */
-const playHost = (isSender: boolean, restarts: boolean, random: () => number): readonly number[] => {
+const simulateHost = (isSender: boolean, hasRestarts: boolean, random: () => number): readonly number[] => {
 	const arrivals: number[] = [];
 	const request = {target: 's', hall: 'hall-a', warmup: {warmupMs: 0, reopenedAt: new Map<string, number>(), isSender: () => isSender}};
 	let table = newTable(-endMs);
 	for (let now = random() * stepMs; now < endMs; now += stepMs) {
-		if (restarts && random() < 0.02) {
+		if (hasRestarts && random() < 0.02) {
 			table = newTable(now);
 		}
 
@@ -74,27 +74,27 @@
 	return arrivals;
 };
 
-const listOf = (host: string, all: readonly string[], lacksFirst: boolean, random: () => number): readonly string[] => {
-	const ranked = lacksFirst ? rankByRendezvous(`cold ${endpoint}`, all) : all.toSorted(() => random() - 0.5);
-	const missing = new Set(ranked.filter(other => other !== host).slice(0, listLacks));
+const hostListOf = (host: string, all: readonly string[], isMissingFirst: boolean, random: () => number): readonly string[] => {
+	const ranked = isMissingFirst ? rankByRendezvous(`cold ${endpoint}`, all) : all.toSorted(() => random() - 0.5);
+	const missing = new Set(ranked.filter(other => other !== host).slice(0, missingPerList));
 	return all.filter(other => !missing.has(other));
 };
 
-const play = (played: Course): readonly number[] => {
-	const random = createRandom(played.seed);
-	const all = Array.from({length: played.count}, (_, index) => `10.0.0.${index}:1`);
-	const ended = Array.from({length: played.ended}, (_, index) => `10.9.0.${index}:1`);
+const simulate = (scenario: Scenario): readonly number[] => {
+	const random = createRandom(scenario.seed);
+	const all = Array.from({length: scenario.hostCount}, (_, index) => `10.0.0.${index}:1`);
+	const ended = Array.from({length: scenario.endedHostCount}, (_, index) => `10.9.0.${index}:1`);
 	return all.flatMap(host => {
-		const hosts = [...listOf(host, all, played.lacksFirst, random), ...ended.filter(() => random() < 0.5)];
-		return playHost(isColdSender(endpoint, {host, hosts, perSecond: played.perSecond}), played.restarts, random);
+		const hosts = [...hostListOf(host, all, scenario.isMissingFirst, random), ...ended.filter(() => random() < 0.5)];
+		return simulateHost(isColdSender(endpoint, {host, hosts, perSecond: scenario.perSecond}), scenario.hasRestarts, random);
 	}).toSorted((one, other) => one - other);
 };
 
-const mostWithinSecond = (arrivals: readonly number[]): number =>
+const maxWithinSecond = (arrivals: readonly number[]): number =>
 	Math.max(0, ...arrivals.map((first, index) => arrivals.slice(index).filter(at => at - first <= 1000).length));
 
 test('no second holds more requests than a cold endpoint bears, whatever the hosts know of each other', t => {
-	fc.assert(fc.property(course, played => mostWithinSecond(play(played)) <= played.perSecond), {numRuns: 100});
+	fc.assert(fc.property(scenarios, scenario => maxWithinSecond(simulate(scenario)) <= scenario.perSecond), {numRuns: 100});
 	t.pass();
 });
 
@@ -102,7 +102,7 @@
 	const hosts = Array.from({length: 74}, (_, index) => `10.0.0.${index}:1`);
 	const senders = hosts.filter(host => isColdSender(endpoint, {host, hosts, perSecond: 14.9}));
 	t.is(senders.length, 4);
-	const sent = playHost(true, false, createRandom(1)).length;
+	const sent = simulateHost(true, false, createRandom(1)).length;
 	t.is(sent, 4, 'within five seconds');
 });
 
--- a/packages/routing/src/test/request-queue.test.ts
+++ b/packages/routing/src/test/request-queue.test.ts
@@ -6,44 +6,44 @@
 import type {QueuedRequest} from '../request-queue/queued-request.js';
 import type {QueueState} from '../request-queue/queue-state.js';
 
-const waiting = (id: number, changes: Partial<QueuedRequest> = {}): QueuedRequest => ({
+const queuedRequest = (id: number, changes: Partial<QueuedRequest> = {}): QueuedRequest => ({
 	id, target: 'm', organisation: 'o', weight: 1, priority: 'normal', startBy: 10_000, ...changes,
 });
 
-const roomOf = (...requests: readonly QueuedRequest[]): QueueState => ({...emptyRequestQueue, waiting: requests});
+const queueOf = (...requests: readonly QueuedRequest[]): QueueState => ({...emptyRequestQueue, waiting: requests});
 
-const startAll = (room: QueueState): readonly QueuedRequest[] => {
-	const {next, queue: rest} = dequeueRequest(room, () => true, 1);
-	return next ? [next, ...startAll(rest)] : [];
+const dequeueAll = (queue: QueueState): readonly QueuedRequest[] => {
+	const {next, queue: rest} = dequeueRequest(queue, () => true, 1);
+	return next ? [next, ...dequeueAll(rest)] : [];
 };
 
 test('slow work may fill half of the places, so that quick work never has to turn it away', t => {
-	const full = roomOf(...Array.from({length: 5}, (_, id) => waiting(id, {priority: 'slow'})));
-	t.false(enqueueRequest(full, waiting(9, {priority: 'slow'}), 10, 0).isAdmitted);
-	t.true(enqueueRequest(full, waiting(9, {priority: 'quick'}), 10, 0).isAdmitted);
+	const full = queueOf(...Array.from({length: 5}, (_, id) => queuedRequest(id, {priority: 'slow'})));
+	t.false(enqueueRequest(full, queuedRequest(9, {priority: 'slow'}), 10, 0).isAdmitted);
+	t.true(enqueueRequest(full, queuedRequest(9, {priority: 'quick'}), 10, 0).isAdmitted);
 });
 
 test('a request that cannot start in time is refused at once', t => {
-	const room = {...roomOf(waiting(1), waiting(2)), msPerStart: 100};
-	t.false(enqueueRequest(room, waiting(3, {startBy: 150}), 10, 0).isAdmitted);
-	t.true(enqueueRequest(room, waiting(3, {startBy: 250}), 10, 0).isAdmitted);
+	const queue = {...queueOf(queuedRequest(1), queuedRequest(2)), msPerStart: 100};
+	t.false(enqueueRequest(queue, queuedRequest(3, {startBy: 150}), 10, 0).isAdmitted);
+	t.true(enqueueRequest(queue, queuedRequest(3, {startBy: 250}), 10, 0).isAdmitted);
 });
 
 test('a waiting request is refused as soon as it shows that it will be late', t => {
-	const room = {...roomOf(waiting(1), waiting(2, {startBy: 150})), msPerStart: 200};
-	t.deepEqual(expireQueuedRequests(room, 0).expired.map(({id}) => id), [2]);
+	const queue = {...queueOf(queuedRequest(1), queuedRequest(2, {startBy: 150})), msPerStart: 200};
+	t.deepEqual(expireQueuedRequests(queue, 0).expired.map(({id}) => id), [2]);
 });
 
 test('quick work goes first, and slow work still gets its turns', t => {
-	const quick = Array.from({length: 40}, (_, id) => waiting(id, {priority: 'quick'}));
-	const order = startAll(roomOf(waiting(100, {priority: 'slow'}), ...quick)).map(({priority}) => priority);
+	const quick = Array.from({length: 40}, (_, id) => queuedRequest(id, {priority: 'quick'}));
+	const order = dequeueAll(queueOf(queuedRequest(100, {priority: 'slow'}), ...quick)).map(({priority}) => priority);
 	t.is(order[0], 'quick');
 	t.true(order.indexOf('slow') > 5);
 	t.true(order.indexOf('slow') < 40);
 });
 
 test('an organisation with many requests does not starve another', t => {
-	const many = Array.from({length: 20}, (_, id) => waiting(id, {organisation: 'many'}));
-	const order = startAll(roomOf(...many, waiting(50, {organisation: 'few'}))).map(({organisation}) => organisation);
+	const many = Array.from({length: 20}, (_, id) => queuedRequest(id, {organisation: 'many'}));
+	const order = dequeueAll(queueOf(...many, queuedRequest(50, {organisation: 'few'}))).map(({organisation}) => organisation);
 	t.true(order.indexOf('few') <= 2);
 });
--- a/packages/routing/src/test/step-retry-window.test.ts
+++ b/packages/routing/src/test/step-retry-window.test.ts
@@ -5,32 +5,32 @@
 const bounds = {retryRatio: 0.2, retryWindowMs: 10_000};
 
 /** Plays requests and attempts at repeats, at even times, and tells the times of the repeats that were allowed. */
-const play = (steps: ReadonlyArray<{at: number; event: 'request' | 'repeat'}>): readonly number[] => {
+const allowedRetryTimes = (steps: ReadonlyArray<{at: number; event: 'request' | 'repeat'}>): readonly number[] => {
 	let window: RetryWindow | undefined;
-	const repeats: number[] = [];
+	const retryTimes: number[] = [];
 	for (const {at, event} of steps) {
 		const step = stepRetryWindow(window, event, bounds, at);
 		window = step.window;
 		if (event === 'repeat' && step.isAllowed) {
-			repeats.push(at);
+			retryTimes.push(at);
 		}
 	}
 
-	return repeats;
+	return retryTimes;
 };
 
 test('no sliding window holds more repeats than the ratio of its requests, or those of the window before it', t => {
 	const steps = Array.from({length: 4000}, (_, index) => [
 		{at: index * 20, event: 'request' as const}, {at: index * 20, event: 'repeat' as const},
 	]).flat();
-	const repeats = play(steps);
-	t.true(repeats.length > 0);
-	for (const start of repeats) {
-		const inWindow = repeats.filter(at => at >= start && at < start + bounds.retryWindowMs).length;
+	const retryTimes = allowedRetryTimes(steps);
+	t.true(retryTimes.length > 0);
+	for (const start of retryTimes) {
+		const inWindow = retryTimes.filter(at => at >= start && at < start + bounds.retryWindowMs).length;
 		t.true(inWindow <= 100, `${inWindow} repeats from ${start}`);
 	}
 });
 
 test('a service without requests gets no repeats', t => {
-	t.deepEqual(play([{at: 0, event: 'repeat'}, {at: 50_000, event: 'repeat'}]), []);
+	t.deepEqual(allowedRetryTimes([{at: 0, event: 'repeat'}, {at: 50_000, event: 'repeat'}]), []);
 });
