--- a/packages/entry/src/lib/choice/create-endpoint-chooser.ts
+++ b/packages/entry/src/lib/choice/create-endpoint-chooser.ts
@@ -60,7 +60,7 @@
 		},
 		choose({parts, tried, avoidedHalls, ...request}) {
 			const key = affinityKey(parts);
-			const preferred = key === undefined ? undefined : preferredEndpoints.find(request.service, key);
+			const preferred = key === undefined ? undefined : preferredEndpoints.endpointFor(request.service, key);
 			const choice = chooseEndpoint(table, {
 				...constraintsOf(request),
 				cachedTokens: endpoint => cacheEstimate.cachedTokens(endpoint, parts, preferred),
--- a/packages/entry/src/lib/choice/create-preferred-endpoints.ts
+++ b/packages/entry/src/lib/choice/create-preferred-endpoints.ts
@@ -10,7 +10,7 @@
 	/** Takes in the endpoints in use. */
 	readonly list: (endpoints: readonly ListedEndpoint[]) => void;
 	/** The life of the endpoint that a service's prompts with this shared part go to; `undefined` where the service has none that stays. */
-	readonly find: (service: string, part: string) => string | undefined;
+	readonly endpointFor: (service: string, part: string) => string | undefined;
 };
 
 /**
@@ -43,7 +43,7 @@
 			incarnationsByService.clear();
 			preferred.clear();
 		},
-		find(service, part) {
+		endpointFor(service, part) {
 			const key = `${service}\n${part}`;
 			const cached = preferred.get(key);
 			if (cached !== undefined) {
--- a/packages/routing/src/endpoints/choose-endpoint.ts
+++ b/packages/routing/src/endpoints/choose-endpoint.ts
@@ -14,12 +14,14 @@
 };
 
 /**
-Chooses the endpoint with the least expected cost, or `undefined` when none can serve the request.
+Chooses the endpoint with the lowest cost, or returns `undefined` when no endpoint can serve the request. Pure.
 
-An endpoint with room is preferred to one without. Left out are endpoints that this request tried, and those that are closed
-to it (`findExclusion`). `deckwheeld` rates by `scoreByCost`, the entry host on a platform by `scoreByAffinity`.
+An endpoint with free capacity is preferred to one without, whatever their costs. Endpoints that the request has already been sent
+to and those that `findExclusion` excludes are left out. `deckwheeld` passes `scoreByCost` by default, the entry host on a
+platform passes `scoreByAffinity`.
 
 @param now Monotonic ms.
+@param scoreEndpoint The routing policy.
 */
 export const chooseEndpoint = <R extends EndpointRequest>(table: EndpointTable, request: R, now: number, scoreEndpoint: ScoreEndpoint<R>): EndpointChoice | undefined => {
 	let best: ScoredEndpoint | undefined;
--- a/packages/routing/src/endpoints/cold-request-interval-ms.ts
+++ b/packages/routing/src/endpoints/cold-request-interval-ms.ts
@@ -1,5 +1,5 @@
 /**
-The least time from one request of a host to the next at the same cold endpoint, in ms: a second, and what a new connection may
-take, so that two of them never arrive within one second.
+The minimum interval between two requests that one host sends to the same cold endpoint, in ms. It is one second plus the time
+that a new connection may take, so that two requests of one host never arrive within the same second.
 */
 export const coldRequestIntervalMs = 1300;
--- a/packages/routing/src/endpoints/endpoint-event.ts
+++ b/packages/routing/src/endpoints/endpoint-event.ts
@@ -1,21 +1,24 @@
 import type {EndpointInfo} from './endpoint-info.js';
 
-/** What changes the picture that a host has of its endpoints. */
+/** What changes a host's table of endpoints. Endpoints are named by their identifiers; times are in ms. */
 export type EndpointEvent =
-	/** A bundle came into force, or a platform listed its endpoints anew. */
+	/** A bundle came into force, or a platform sent a new list of its endpoints. The list replaces the one before. */
 	| {readonly type: 'configured'; readonly endpoints: readonly EndpointInfo[]}
+	/** This host sent a request to the endpoint. */
 	| {readonly type: 'started'; readonly endpoint: string}
+	/** A request of this host at the endpoint ended successfully. */
 	| {readonly type: 'succeeded'; readonly endpoint: string; readonly durationMs: number; readonly outputTokens: number}
-	/** The endpoint failed or could not be reached. */
+	/** A request of this host failed at the endpoint, or could not reach it. */
 	| {readonly type: 'failed'; readonly endpoint: string}
-	/** Another process answers at the endpoint's address, so it has ended. Its entry goes in time. */
+	/** A different process responded at the endpoint's address, so the endpoint's process has ended. A later list will lack the endpoint. */
 	| {readonly type: 'gone'; readonly endpoint: string}
-	/** It said itself that it ends before long, whatever is listed. */
+	/** The endpoint itself announced that it will shut down soon, which the list may not show yet. */
 	| {readonly type: 'leaving'; readonly endpoint: string}
-	/** It turned a request away and wants none of this host until then, in monotonic ms. */
+	/** The endpoint refused a request and asked this host to send none until the instant `until`, in monotonic ms. */
 	| {readonly type: 'rest_asked'; readonly endpoint: string; readonly until: number}
-	/** The permits of its limit on requests are used up for this host until then, in monotonic ms. */
+	/** This host gets no permit under the endpoint's limit on requests before the instant `until`, in monotonic ms. */
 	| {readonly type: 'limited'; readonly endpoint: string; readonly until: number}
-	/** The request ended early for a reason that says nothing about the endpoint. */
+	/** A request of this host at the endpoint ended early, for a reason that says nothing about the endpoint's health. */
 	| {readonly type: 'abandoned'; readonly endpoint: string}
+	/** The endpoint reported its load: `total` is the number of requests of all hosts that run or wait there. */
 	| {readonly type: 'reported'; readonly endpoint: string; readonly total: number};
--- a/packages/routing/src/endpoints/endpoint-exclusion.ts
+++ b/packages/routing/src/endpoints/endpoint-exclusion.ts
@@ -1,25 +1,26 @@
-/** Why an endpoint may not be sent a request. */
+/** Why an endpoint must not be sent a request. */
 export type EndpointExclusion = {
 	readonly reason:
-		/** It is no longer listed. */
+		/** The endpoint is no longer listed. */
 		| 'unlisted'
+		/** The endpoint does not serve the model or service that the request asks for. */
 		| 'other_service'
-		/** It ends before long. */
+		/** The endpoint will shut down soon. */
 		| 'leaving'
-		/** Its hall is to get nothing, by order of the operators. */
+		/** The operators ordered that the endpoint's hall gets no requests. */
 		| 'evacuated'
-		/** The route or the organisation is not to leave its regions. */
+		/** The endpoint's region is not among those that the request's route or organisation allows. */
 		| 'other_region'
-		/** Its hall was found out of reach. */
+		/** This host cannot reach the endpoint's hall. */
 		| 'out_of_reach'
-		/** It failed several times in a row, or its probe after that is under way. */
+		/** The endpoint failed several times in a row, or the one request that probes it after the ejection is still in flight. */
 		| 'ejected'
-		/** It asked for rest. */
+		/** The endpoint asked for a backoff. */
 		| 'resting'
-		/** It limits the requests of all hosts together, and others have the permits. */
+		/** The endpoint limits the requests of all hosts together, and the permits for this host are used up. */
 		| 'limited'
-		/** It warms up, and another request of this host or another host has its place. */
+		/** The endpoint warms up, and this host may not send to it at all meanwhile, or not yet again after its last request. */
 		| 'cold';
-	/** When it is open again, in monotonic ms, where that is known. */
+	/** The instant at which the exclusion ends, in monotonic ms; `undefined` where more than the passing of time is needed to end it. */
 	readonly until?: number;
 };
--- a/packages/routing/src/endpoints/endpoint-info.ts
+++ b/packages/routing/src/endpoints/endpoint-info.ts
@@ -1,13 +1,15 @@
-/** What the bundle says of an endpoint. */
+/** An endpoint as the bundle of `deckwheeld` or the platform of an entry host lists it. */
 export type EndpointInfo = {
 	readonly id: string;
 	readonly hall: string;
+	/** The models or services that the endpoint serves. */
 	readonly serves: readonly string[];
-	/** Requests that it runs side by side. */
+	/** Requests that the endpoint runs concurrently. */
 	readonly slots: number;
+	/** Whether the endpoint will shut down soon and gets no new requests. */
 	readonly isLeaving: boolean;
-	/** Where its hall is; `undefined` where nobody says. */
+	/** The region of the endpoint's hall; `undefined` where it is unknown. */
 	readonly region?: string;
-	/** Until when it warms up after a start or a loss of its caches, in monotonic ms; `undefined` once it is warm. */
+	/** The instant until which the endpoint warms up after a start or a loss of its caches, in monotonic ms; `undefined` for a warm endpoint. */
 	readonly coldUntil?: number;
 };
--- a/packages/routing/src/endpoints/endpoint-request.ts
+++ b/packages/routing/src/endpoints/endpoint-request.ts
@@ -1,19 +1,19 @@
 import type {WarmupRules} from './warmup-rules.js';
 
-/** What every choice of an endpoint depends on. Each rating asks for more (`CostRequest`, `AffinityRequest`). */
+/** What every choice of an endpoint for a request depends on. The scoring policies extend it (`CostRequest`, `AffinityRequest`). */
 export type EndpointRequest = {
-	/** The model or service that is asked for. */
+	/** The model or service that the request asks for. */
 	readonly target: string;
-	/** The hall that the request came in at. */
+	/** The hall of the host that routes the request. */
 	readonly hall: string;
-	/** Halls that the host cannot reach now. */
+	/** Halls that this host cannot reach now. This host's own hall never counts as one. */
 	readonly unreachableHalls?: ReadonlySet<string>;
-	/** Endpoints that were tried already. */
+	/** Identifiers of the endpoints that the request has already been sent to. */
 	readonly tried: readonly string[];
-	/** Halls whose endpoints are to get nothing, by order of the operators. */
+	/** Halls whose endpoints get no requests, by order of the operators. */
 	readonly evacuatedHalls?: ReadonlySet<string>;
-	/** Sets of regions; the endpoint has to be in one of each set. */
+	/** Sets of allowed regions; the endpoint's region must be in every set. */
 	readonly regions?: ReadonlyArray<readonly string[]>;
-	/** How endpoints that warm up may be used; by default as warm ones. */
+	/** How this host may use endpoints that warm up; by default they are used like warm ones. */
 	readonly warmup?: WarmupRules;
 };
--- a/packages/routing/src/endpoints/endpoint-state.ts
+++ b/packages/routing/src/endpoints/endpoint-state.ts
@@ -1,33 +1,36 @@
 import type {EndpointInfo} from './endpoint-info.js';
 import type {LoadReport} from './load-report.js';
 
-/** What this host knows and believes of one endpoint. */
+/** What this host knows and assumes about one endpoint. */
 export type EndpointState = {
-	/** As it was listed; `isLeaving` by its own word as well. */
+	/** The endpoint as it was last listed. `isLeaving` is also set once the endpoint itself has announced that it leaves. */
 	readonly info: EndpointInfo;
-	/** Whether it is listed; one that is not stays known while requests of this host are open there, or what it said holds on. */
+	/** Whether the endpoint is in the latest list. An unlisted one stays in the table as long as `stepEndpoints` retains it. */
 	readonly isListed: boolean;
-	/** When it was last listed, in monotonic ms. */
+	/** When a list last contained the endpoint, in monotonic ms. */
 	readonly listedAt: number;
-	/** Whether it said itself that it leaves. A list may be older than its word, so none takes this back; its next life has another identifier. */
+	/**
+	Whether the endpoint itself announced that it leaves. A list may be older than the announcement, so no list takes it back; the
+	endpoint's next incarnation has another identifier.
+	*/
 	readonly hasAnnouncedLeaving: boolean;
-	/** Monotonic ms until which it wants no request of this host; 0 when it never asked for rest. */
+	/** The end of the backoff that the endpoint asked of this host, in monotonic ms; 0 if it never asked for one. */
 	readonly backoffUntil: number;
-	/** Monotonic ms until which the permits of its limit on requests are used up for this host; 0 when they never were. */
+	/** The instant until which this host gets no permit under the endpoint's limit on requests, in monotonic ms; 0 if permits were never used up. */
 	readonly rateLimitedUntil: number;
-	/** This host's own open requests there: the one figure that does not lag. */
+	/** This host's own requests in flight at the endpoint: the only load figure that does not lag. */
 	readonly inFlight: number;
-	/** Requests that this host ever sent there. */
+	/** The number of requests that this host has sent to the endpoint so far. */
 	readonly startedCount: number;
-	/** When this host last sent a request there, or first knew of the endpoint, in monotonic ms. */
+	/** When this host last sent a request to the endpoint or, before its first request, first saw the endpoint listed, in monotonic ms. */
 	readonly lastStartedAt: number;
 	readonly report?: LoadReport;
-	/** Smoothed time a request takes there, in ms. */
+	/** The smoothed duration of a request at the endpoint, in ms. */
 	readonly serviceMs: number;
-	/** Smoothed time from one token to the next, in ms. */
+	/** The smoothed duration of a request divided by its output tokens, in ms per token. */
 	readonly msPerToken: number;
 	/** Failures since the last success. */
 	readonly failures: number;
-	/** Monotonic ms until which nothing new is sent; 0 when it is in good standing. */
+	/** The instant until which the endpoint is ejected and gets no new requests, in monotonic ms; 0 if it has not been ejected since its last success. */
 	readonly ejectedUntil: number;
 };
--- a/packages/routing/src/endpoints/endpoint-table.ts
+++ b/packages/routing/src/endpoints/endpoint-table.ts
@@ -1,4 +1,4 @@
 import type {EndpointState} from './endpoint-state.js';
 
-/** All endpoints that are listed, and those at which requests of this host are still open, by identifier. */
+/** The endpoints that a host knows, by identifier: the listed ones, and unlisted ones that `stepEndpoints` still retains. */
 export type EndpointTable = ReadonlyMap<string, EndpointState>;
--- a/packages/routing/src/endpoints/exclusion-of-all.ts
+++ b/packages/routing/src/endpoints/exclusion-of-all.ts
@@ -9,8 +9,12 @@
 	exclusions.filter(({until}) => until !== undefined).sort((one, other) => one.until! - other.until!)[0];
 
 /**
-Why no endpoint of a service is open to a request: the closure that ends first, else an evacuation; `undefined` where one is open,
-where the service has none, and where they are closed for other reasons. Pure. `now` is monotonic ms.
+Tells why every endpoint of a service is excluded for a request: the exclusion that ends first, else an evacuation. Pure.
+
+Returns `undefined` where an endpoint is open to the request, where the service has no endpoint, and where all exclusions are for
+other reasons and have no known end.
+
+@param now Monotonic ms.
 */
 export const exclusionOfAll = (table: EndpointTable, request: Omit<EndpointRequest, 'tried'>, now: number): EndpointExclusion | undefined => {
 	const found = [...table.values()].map(state => findExclusion(state, request, now)).filter(exclusion => isOfService(exclusion));
--- a/packages/routing/src/endpoints/find-exclusion.ts
+++ b/packages/routing/src/endpoints/find-exclusion.ts
@@ -4,7 +4,7 @@
 import type {EndpointState} from './endpoint-state.js';
 import {warmAt} from './warm-at.js';
 
-/** What of a request decides which endpoints are open to it. What it has tried is left to the choice. */
+/** The part of a request that decides which endpoints are excluded for it. `chooseEndpoint` itself leaves out those in `tried`. */
 type ExclusionRequest = Omit<EndpointRequest, 'tried'>;
 
 const isInRegions = ({region}: EndpointState['info'], regions: EndpointRequest['regions'] = []): boolean =>
@@ -24,14 +24,14 @@
 	return nextAt <= now ? undefined : {reason: 'cold', until: Math.min(nextAt, until)};
 };
 
-// After an ejection, one request at a time probes the endpoint.
+// After an ejection ends, only one request at a time probes the endpoint, until one succeeds.
 const isBeingProbed = ({failures, ejectedUntil, inFlight}: EndpointState): boolean => failures > 0 && ejectedUntil > 0 && inFlight > 0;
 
 /**
-Decides whether an endpoint may be sent a request, and if not, why: `undefined` where it may. Pure.
+Tells why an endpoint must not be sent a request, or returns `undefined` where it may be sent one. Pure.
 
-Everything that sends asks this, by way of `chooseEndpoint`: first tries, repeats, and streams that are taken up again. Reasons that
-no time mends go first, so `until` is only told where waiting is enough.
+First attempts, retries and resumed streams all depend on it, by way of `chooseEndpoint`. Reasons that time alone does not end
+are checked first, so `until` is set only where waiting is enough.
 
 @param now Monotonic ms.
 */
--- a/packages/routing/src/endpoints/load-report.ts
+++ b/packages/routing/src/endpoints/load-report.ts
@@ -1,9 +1,9 @@
-/** What an endpoint last said of its load. It lags. */
+/** The load that an endpoint last reported. It lags behind the endpoint's present load. */
 export type LoadReport = {
-	/** Requests that run or wait there, from all hosts. */
+	/** Requests of all hosts that run or wait at the endpoint. */
 	readonly total: number;
-	/** This host's own requests there at the time of the report. */
+	/** This host's own requests in flight at the endpoint when this host received the report. */
 	readonly ownInFlight: number;
-	/** Monotonic ms at which it was received. */
+	/** When this host received the report, in monotonic ms. */
 	readonly receivedAt: number;
 };
--- a/packages/routing/src/endpoints/step-endpoints.ts
+++ b/packages/routing/src/endpoints/step-endpoints.ts
@@ -4,24 +4,24 @@
 import type {EndpointState} from './endpoint-state.js';
 import type {EndpointTable} from './endpoint-table.js';
 
-/** Failures in a row after which an endpoint is left alone for a while. Fewer would eject on chance, more cost requests. */
+/** Consecutive failures after which an endpoint is ejected. Fewer would eject healthy endpoints by chance; with more, more requests fail first. */
 const failuresBeforeEjection = 3;
 
-/** How long a first ejection lasts, in ms, doubled with each further failure. */
+/** The duration of a first ejection, in ms. It doubles with each further failure. */
 const initialEjectionMs = 1000;
 
-/** The longest ejection, in ms. */
+/** The maximum duration of an ejection, in ms. */
 const maxEjectionMs = 30_000;
 
-/** The time of a request that is assumed of an endpoint that has not answered yet, in ms. */
+/** The duration of a request that is assumed for an endpoint at which none has succeeded yet, in ms. */
 const initialServiceMs = 1000;
 
-/** The time from token to token that is assumed of it, in ms. */
+/** The duration per output token that is assumed for an endpoint at which no request has succeeded yet, in ms. */
 const initialMsPerToken = 20;
 
 /**
-How long the word of an endpoint that it leaves is remembered after its entry went, in ms: an entry that lapsed while the store was
-away comes back, as ready.
+How long an endpoint's announcement that it leaves is kept after a list last contained the endpoint, in ms. An entry that expired
+while the store was unavailable is listed again later, and then as ready.
 */
 const leavingRetentionMs = 600_000;
 
@@ -70,7 +70,7 @@
 const isRetained = ({isListed, inFlight, hasAnnouncedLeaving, listedAt, backoffUntil}: EndpointState, now: number): boolean =>
 	isListed || inFlight > 0 || backoffUntil > now || (hasAnnouncedLeaving && now - listedAt < leavingRetentionMs);
 
-// Requests that were open when a list came without the endpoint are still to end, and it may be listed again before that.
+// When a list lacks an endpoint, requests may still be in flight there. Their ends are counted, and the endpoint may be listed again before them.
 const afterConfigured = (table: EndpointTable, endpoints: readonly EndpointInfo[], now: number): EndpointTable => {
 	const next = new Map(endpoints.map(info => [info.id, asListed(table.get(info.id) ?? newState(info, now), info, now)]));
 	for (const [id, state] of table) {
@@ -83,7 +83,7 @@
 	return next;
 };
 
-/** Moves one endpoint on by one event. `now` is monotonic ms. */
+/** Applies one event to the state of one endpoint. `now` is monotonic ms. */
 const stepState = (state: EndpointState, event: Exclude<EndpointEvent, {type: 'configured'}>, now: number): EndpointState => {
 	switch (event.type) {
 		case 'started': {
@@ -127,11 +127,11 @@
 };
 
 /**
-Moves the table of endpoints on by one event.
+Applies one event to the table of endpoints and returns the new table. Pure.
 
-What is known of an endpoint ends when it is no longer listed, no request is open there, it has not said lately that it leaves,
-and its rest is over. Identifiers name one life of a process, so one that starts again begins with nothing, and what comes late of
-its earlier life changes nothing of it.
+An unlisted endpoint is removed once no request of this host is in flight there, its backoff is over, and any announcement that
+it leaves has expired. An identifier names one incarnation of an endpoint's process. So an endpoint that restarts begins with a
+new state, and late events of its previous incarnation do not change that state.
 
 @param now Monotonic ms.
 */
--- a/packages/routing/src/endpoints/warm-at.ts
+++ b/packages/routing/src/endpoints/warm-at.ts
@@ -1,6 +1,10 @@
 import type {EndpointState} from './endpoint-state.js';
 import type {WarmupRules} from './warmup-rules.js';
 
-/** When an endpoint is warm, in monotonic ms: by its list entry, or by the time since its hall was reopened. In the past once it is warm. Pure. */
+/**
+Returns the instant at which an endpoint is warm, in monotonic ms, which is in the past for a warm endpoint. Pure.
+
+It is the later one of what the list says and of the end of the warm-up that is assumed since the endpoint's hall was reopened.
+*/
 export const warmAt = ({info}: EndpointState, {reopenedAt, warmupMs}: WarmupRules): number =>
 	Math.max(info.coldUntil ?? 0, (reopenedAt.get(info.hall) ?? Number.NEGATIVE_INFINITY) + warmupMs);
--- a/packages/routing/src/request-limits/request-limit.ts
+++ b/packages/routing/src/request-limits/request-limit.ts
@@ -1,9 +1,9 @@
-/** What an endpoint said of its limit on the requests of all hosts together. */
+/** A limit on the requests of all hosts together, as an endpoint stated it in a response to some host. */
 export type RequestLimit = {
-	/** Requests a second; `undefined` where it named no limit. */
+	/** Requests a second; `undefined` where the endpoint stated no limit. */
 	readonly perSecond: number | undefined;
-	/** It said so after this: when the request was sent, in monotonic ms of this host. */
+	/** When the request was sent, in monotonic ms of this host. The endpoint stated the limit after this instant. */
 	readonly askedAt: number;
-	/** And before this: when the answer was read, in monotonic ms of this host. */
+	/** When the response was read, in monotonic ms of this host. The endpoint stated the limit before this instant. */
 	readonly readAt: number;
 };
--- a/packages/routing/src/request-limits/step-request-limit.ts
+++ b/packages/routing/src/request-limits/step-request-limit.ts
@@ -1,6 +1,6 @@
 import type {RequestLimit} from './request-limit.js';
 
-/** A limit at or above this binds no endpoint, in requests a second: it counts as none. */
+/** The rate from which a limit counts as none, in requests a second, because no endpoint reaches it. */
 const unlimitedFromPerSecond = 1000;
 
 const withoutNonBinding = (limit: RequestLimit): RequestLimit =>
@@ -9,12 +9,13 @@
 const rateOf = ({perSecond = Number.POSITIVE_INFINITY}: RequestLimit): number => perSecond;
 
 /**
-Decides what is known of an endpoint's limit after one more answer, of whichever host. Pure.
+Decides which limit of an endpoint is in force after one more response of the endpoint, to this or another host. Pure.
 
-What was said last counts. Answers overtake one another, and a host that was suspended reads them late; where their order is not known, the
-lower limit counts, until an answer to a later request says otherwise.
+The limit that the endpoint stated last is in force. Responses may overtake each other, and a suspended host reads them late. So where the
+order of two responses is unknown, the lower limit is in force until a response to a later request states another.
 
-@param known `undefined` where the endpoint never named a limit.
+@param known The limit in force so far; `undefined` where none is known.
+@param received The limit that the response states.
 */
 export const stepRequestLimit = (known: RequestLimit | undefined, received: RequestLimit): RequestLimit => {
 	const next = withoutNonBinding(received);
--- a/packages/routing/src/request-limits/take-token.ts
+++ b/packages/routing/src/request-limits/take-token.ts
@@ -1,26 +1,26 @@
 import type {TokenBucket} from './token-bucket.js';
 
-/** Tokens that a bucket holds at most, as the time in which they come in, in seconds; one at least. */
+/** The capacity of a bucket, as the time in which that many tokens are added, in seconds. A bucket holds at least one token. */
 const burstSeconds = 0.25;
 
-/** What sums of fractions may be off by. */
+/** The tolerated rounding error of sums of fractions of a token, in tokens. */
 const roundingTolerance = 1e-6;
 
 type TokenResult = {
 	readonly bucket: TokenBucket;
 	readonly isTaken: boolean;
-	/** When the next token is in, in monotonic ms. */
+	/** When the bucket will next hold a whole token, in monotonic ms. */
 	readonly nextAt: number;
 };
 
 /**
-Takes a token from a bucket, if one is in. Pure.
+Takes a token from a bucket, if the bucket holds one. Pure.
 
-A new bucket is empty: an earlier life of this host, or another host in its place, may have handed out what would be in it. Across a
-change of the rate, the lower one counts.
+A new bucket is empty, because an earlier incarnation of this host, or another host that was the coordinator before, may already have
+handed out the tokens that it would hold. When the rate changes, the time since the last call is filled at the lower of the old and the new rate.
 
-@param bucket `undefined` for a new one.
-@param perSecond How fast it fills from now on; above 0.
+@param bucket `undefined` for a new bucket.
+@param perSecond The rate at which the bucket fills from now on, in tokens a second; above 0.
 @param now Monotonic ms.
 */
 export const takeToken = (bucket: TokenBucket | undefined, perSecond: number, now: number): TokenResult => {
--- a/packages/routing/src/request-queue/dequeue-request.ts
+++ b/packages/routing/src/request-queue/dequeue-request.ts
@@ -3,13 +3,13 @@
 import type {QueuedRequest} from './queued-request.js';
 import type {QueueState} from './queue-state.js';
 
-/** The next request to start, if any may. */
+/** The queue without the next request, and that request; `next` is missing where no request of the queue can start. */
 type DequeueResult = {readonly queue: QueueState; readonly next?: QueuedRequest};
 
-/** How often each priority is served when all wait. Slow work goes on under any load of quick work. */
+/** How many requests of each priority start in a round while requests of all priorities wait. Slow requests still start under any load of quick ones. */
 const priorityWeights: Readonly<Record<Priority, number>> = {quick: 16, normal: 4, slow: 1};
 
-/** A longer gap means that nobody waited, which says nothing of the rate. In ms. */
+/** The maximum interval between two starts that enters the average, in ms. In a longer one the queue was empty, which says nothing about the rate of starts. */
 const maxStartGapMs = 1000;
 const priorities = ['quick', 'normal', 'slow'] as const;
 
@@ -32,7 +32,8 @@
 	ready.toSorted((a, b) =>
 		servedTo(queue, a.organisation) - servedTo(queue, b.organisation) || a.startBy - b.startBy)[0]!;
 
-// An organisation that was away must not come back with a claim on all the service it missed.
+// Counts the start as 1 / `weight` for the request's organisation, and drops the counts of organisations without a queued request. The
+// lower bound is meant to keep an organisation that was absent from a claim to all the starts that it missed.
 const chargeOrganisation = (queue: QueueState, request: QueuedRequest): ReadonlyMap<string, number> => {
 	const present = new Set(queue.waiting.map(({organisation}) => organisation));
 	const lowestServed = Math.min(...[...present].map(organisation => servedTo(queue, organisation)));
@@ -41,10 +42,12 @@
 };
 
 /**
-Takes the next request out of the queue: by priority in turns, then by fair share
-of the organisations, then the one that must start first.
+Takes the next request out of the queue. Pure.
 
-@param canStart Whether an endpoint can take the request now.
+The priority is chosen by weighted round robin. Of that priority's requests, one of the organisation that has been served the least
+for its weight is next; between equally served organisations, and within one, it is the request with the earliest `startBy`.
+
+@param canStart Whether an endpoint has free capacity for the request now.
 @param now Monotonic ms.
 */
 export const dequeueRequest = (queue: QueueState, canStart: (request: QueuedRequest) => boolean, now: number): DequeueResult => {
--- a/packages/routing/src/request-queue/empty-request-queue.ts
+++ b/packages/routing/src/request-queue/empty-request-queue.ts
@@ -1,6 +1,6 @@
 import type {QueueState} from './queue-state.js';
 
-/** A queue in which nobody waits. */
+/** A queue without requests. It assumes a start each 10 ms until starts have been measured. */
 export const emptyRequestQueue: QueueState = {
 	waiting: [],
 	servedByOrganisation: new Map(),
--- a/packages/routing/src/request-queue/expire-queued-requests.ts
+++ b/packages/routing/src/request-queue/expire-queued-requests.ts
@@ -2,7 +2,12 @@
 import type {QueuedRequest} from './queued-request.js';
 import type {QueueState} from './queue-state.js';
 
-/** Takes out the requests that will not start in time, as soon as that shows, so that they are refused at once. */
+/**
+Removes the requests that are not expected to start by their `startBy`, so that they are refused as soon as that is known. Pure.
+
+@param now Monotonic ms.
+@returns The remaining queue as `room`, and the removed requests.
+*/
 export const expireQueuedRequests = (queue: QueueState, now: number): {readonly room: QueueState; readonly expired: readonly QueuedRequest[]} => {
 	const expired = queue.waiting.filter(request => expectedStartAt(queue, request, now) > request.startBy);
 	return expired.length === 0
--- a/packages/routing/src/request-queue/queue-retry-after-seconds.ts
+++ b/packages/routing/src/request-queue/queue-retry-after-seconds.ts
@@ -1,8 +1,8 @@
 import type {QueueState} from './queue-state.js';
 
-/** The longest time that a caller is told to stay away, in seconds. */
+/** The maximum delay that a caller is told to wait before a retry, in seconds. */
 const maxRetryAfterSeconds = 60;
 
-/** Seconds after which a refused request should come back: when the queue will have drained at its present rate. */
+/** Returns the seconds after which a caller should retry a refused request: when the queue will be empty at its present rate of starts, within 1 to 60. */
 export const queueRetryAfterSeconds = ({waiting, msPerStart}: QueueState): number =>
 	Math.min(maxRetryAfterSeconds, Math.max(1, Math.ceil(waiting.length * msPerStart / 1000)));
--- a/packages/routing/src/retries/retry-budget.ts
+++ b/packages/routing/src/retries/retry-budget.ts
@@ -1,2 +1,2 @@
-/** What is left for retries. It grows with requests and shrinks with retries, so retries stay a small part of the load. */
+/** The retries that a host may still make. `credit` grows with each request and shrinks by 1 with each retry, so retries stay a small part of the load. */
 export type RetryBudget = {readonly credit: number};
--- a/packages/routing/src/retries/retry-window.ts
+++ b/packages/routing/src/retries/retry-window.ts
@@ -1,6 +1,6 @@
-/** Requests and repeats of one service at this host, in two halves of a sliding window. */
+/** The requests and retries of one service at this host, in the current window and the one before it. Both have the same length. */
 export type RetryWindow = {
-	/** Monotonic ms at which the newer half began. */
+	/** When the current window began, in monotonic ms. */
 	readonly startedAt: number;
 	readonly requests: number;
 	readonly retries: number;
--- a/packages/routing/src/retries/step-retry-budget.ts
+++ b/packages/routing/src/retries/step-retry-budget.ts
@@ -1,15 +1,15 @@
 import type {RetryBudget} from './retry-budget.js';
 
-/** Retries allowed for each request. */
+/** The retries that each request adds to the budget. */
 const creditPerRequest = 0.1;
 
-/** The most retries that can be saved up, so that a quiet time allows no burst. */
+/** The maximum number of retries that the budget can hold, so that no large burst of retries follows a time without retries. */
 const maxCredit = 10;
 
 /**
-Notes a request, or takes one retry out of the budget. `isAllowed` tells whether the retry may be made.
+Adds the credit of a request to the budget, or takes one retry out of it. `isAllowed` tells whether the retry may be made. Pure.
 
-For `deckwheeld`. On a platform, which states a ratio over a sliding window, `stepRetryWindow` decides.
+`deckwheeld` uses it. On a platform, which states a ratio over a sliding window, entry hosts use `stepRetryWindow` instead.
 */
 export const stepRetryBudget = ({credit}: RetryBudget, event: 'request' | 'retry'): {readonly budget: RetryBudget; readonly isAllowed: boolean} => {
 	if (event === 'request') {
--- a/packages/routing/src/retries/step-retry-window.ts
+++ b/packages/routing/src/retries/step-retry-window.ts
@@ -17,21 +17,27 @@
 		: {...emptyWindow, startedAt: now};
 };
 
-/** What a service may get in repeats. */
+/** The limit on the retries of a service. */
 type RetryLimit = {
-	/** Repeats for each request of the window. */
+	/** Retries allowed for each request within the window. */
 	readonly retryRatio: number;
+	/** The length of the window, in ms. */
 	readonly retryWindowMs: number;
 };
 
 type RetryDecision = {readonly window: RetryWindow; readonly isAllowed: boolean};
 
 /**
-Notes a request, or takes one repeat out of what the service may get.
+Counts a request of a service, or decides whether the service gets one more retry, and counts an allowed one. Pure.
 
-`deckwheeld` spends a credit instead (`stepRetryBudget`); here the platform states a ratio over a sliding window and counts
-repeats itself. Each host keeps to its own part without asking: the ratio of its own requests. The slack is nobody's, so it is left.
-Repeats of up to two windows count against the requests of one, so that no sliding window holds too many.
+`deckwheeld` spends a credit instead (`stepRetryBudget`). Entry hosts use this function, because their platform states a ratio of
+retries to requests over a sliding window, and counts retries itself. Each host keeps to that ratio of its own requests, without
+asking the other hosts. The platform also tolerates a slack beyond the ratio, but for all hosts together, so no host uses any of it.
+The retries of the current and the previous window together are held against the requests of the one of the two that has more, so that no sliding
+window holds too many retries.
+
+@param before `undefined` before the service's first request at this host.
+@param now Monotonic ms.
 */
 export const stepRetryWindow = (before: RetryWindow | undefined, event: 'request' | 'repeat', {retryRatio, retryWindowMs}: RetryLimit, now: number): RetryDecision => {
 	const window = advanceWindow(before ?? {...emptyWindow, startedAt: now}, retryWindowMs, now);
--- a/packages/routing/src/scoring/cost-request.ts
+++ b/packages/routing/src/scoring/cost-request.ts
@@ -1,14 +1,15 @@
 import type {EndpointRequest} from '../endpoints/endpoint-request.js';
 import type {Priority} from '../request-queue/priority.js';
 
-/** What `scoreByCost` weighs. */
+/** What `scoreByCost` needs to know of a request. */
 export type CostRequest = EndpointRequest & {
 	readonly priority: Priority;
-	/** The part of this host's work that has been quick lately, 0 to 1. */
+	/** The share of the endpoints' time that this host's quick requests have taken lately, 0 to 1. */
 	readonly quickShare: number;
-	/** Prompt tokens that each endpoint is estimated to have cached. */
+	/** Returns the prompt tokens that an endpoint is estimated to have in its prefix cache. */
 	readonly cachedTokens: (endpoint: string) => number;
+	/** The length of the prompt, in tokens. */
 	readonly promptTokens: number;
-	/** The endpoint that served this session last. */
+	/** The endpoint that served the request's session last; `undefined` without one. */
 	readonly stickyTo?: string;
 };
--- a/packages/routing/src/scoring/score-by-affinity.ts
+++ b/packages/routing/src/scoring/score-by-affinity.ts
@@ -5,21 +5,21 @@
 import type {AffinityRequest} from './affinity-request.js';
 
 /**
-What it costs to read one token of a prompt anew: its time at the engine, and the work it holds up beside it, in ms. More keeps
-prompts where they were read, less spreads load.
+The cost of one prompt token that the endpoint has to prefill, in ms: the engine's time for the token, and the delay of the
+engine's other requests meanwhile. A higher value keeps prompts at the endpoints that have them cached, a lower one spreads the load.
 */
 const msPerUncachedToken = 0.06;
 
-/** What each open request of this host adds to the wait at an endpoint, in ms. Other hosts' requests are alike. */
+/** The wait that each request at an endpoint adds, in ms. Requests of other hosts are assumed to be like those of this host. */
 const waitMsPerRequest = 25;
 
-/** What an endpoint of another hall costs more, in ms: the way there, and the price of traffic between halls. */
+/** The additional cost of an endpoint in another hall, in ms: the network latency, and the price of traffic between halls. */
 const otherHallPenaltyMs = 8;
 
-/** More than any wait: an endpoint in a hall that seems out of reach is a last resort. In ms. */
+/** The additional cost of an endpoint in a hall that seems out of reach, in ms: more than any wait, so such an endpoint is a last resort. */
 const avoidedHallPenaltyMs = 1_000_000;
 
-/** More than any wait: an endpoint that warms up bears little, and its caches are empty. In ms. */
+/** The additional cost of a cold endpoint, in ms: more than any wait, because an endpoint that warms up can take little load and its caches are empty. */
 const coldEndpointPenaltyMs = 1_000_000;
 
 const warmupPenaltyMs = (state: EndpointState, {warmup}: AffinityRequest, now: number): number =>
@@ -34,8 +34,10 @@
 };
 
 /**
-Weighs the part of the prompt that must be read anew against the load. For many hosts that cannot ask each other: the entry
-host on a platform rates by this. `deckwheeld` polls its engines' load and rates by `scoreByCost`.
+Scores an endpoint by the prompt tokens that it has to prefill and by its load, plus penalties for another hall and for a warm-up.
+
+The entry host on a platform uses it, because many such hosts share the endpoints without asking each other for their load.
+`deckwheeld` polls the load of its engines and uses `scoreByCost` by default.
 */
 export const scoreByAffinity: ScoreEndpoint<AffinityRequest> = (state, request, now) => {
 	const {info} = state;
--- a/packages/routing/src/scoring/score-by-cost.ts
+++ b/packages/routing/src/scoring/score-by-cost.ts
@@ -2,28 +2,31 @@
 import type {ScoreEndpoint} from './score-endpoint.js';
 import type {CostRequest} from './cost-request.js';
 
-/** What an endpoint of another hall costs more than its wait, in ms. */
+/** The additional cost of an endpoint in another hall, in ms. */
 const otherHallPenaltyMs = 20;
 
-/** What moving a session to another endpoint costs, in ms. */
+/** The additional cost of moving a session to another endpoint, in ms. */
 const movedSessionPenaltyMs = 50;
 
-/** What reading one token of a prompt that is not cached costs, in ms. */
+/** The cost of one prompt token that the endpoint has to prefill, in ms. */
 const msPerUncachedToken = 0.1;
 
-/** How far above its slots an endpoint is filled with quick work: engines honour priorities, so it may queue there. */
+/** The share of its slots by which an endpoint may be overfilled with quick requests. Engines honour priorities, so quick requests may queue there. */
 const quickOverfillShare = 0.5;
 
-/** Less urgent work may queue at an endpoint by this part of its slots: reports lag, and a slot must not wait for one. */
+/** The share of its slots by which an endpoint may be overfilled with less urgent requests. Load reports lag, and no slot should stay idle until a report shows it. */
 const slackShare = 0.25;
 
-// Less urgent work leaves free somewhat fewer slots than quick work has been using.
+// Less urgent requests leave the slots free that quick requests have been using, but for the overfill that `slackShare` allows.
 const capacityFor = (slots: number, {priority, quickShare}: CostRequest): number =>
 	priority === 'quick'
 		? slots * (1 + quickOverfillShare)
 		: Math.max(1, slots + Math.ceil(slots * slackShare) - Math.floor(slots * quickShare));
 
-/** Weighs queue, prompt cache, hall, session and pace. `deckwheeld` rates by this unless its setting `routing` says otherwise. */
+/**
+Scores an endpoint by the expected wait in its queue, the prompt tokens that it has to prefill, its hall, the request's session, and
+the endpoint's duration per token. `deckwheeld` uses it unless its setting `routing` names another policy.
+*/
 export const scoreByCost: ScoreEndpoint<CostRequest> = (state, request, now) => {
 	const {info, serviceMs, msPerToken} = state;
 	const load = estimateLoad(state, now);
--- a/packages/routing/src/scoring/scored-endpoint.ts
+++ b/packages/routing/src/scoring/scored-endpoint.ts
@@ -1,7 +1,8 @@
 import type {EndpointChoice} from '../endpoints/endpoint-choice.js';
 
-/** An endpoint as one policy rates it; the least cost wins. The reason is put into words only for the one that is chosen. */
+/** An endpoint with the score of a routing policy. `reason` is a function, so that only the chosen endpoint's text is built. */
 export type ScoredEndpoint = Omit<EndpointChoice, 'reason'> & {
+	/** The lowest cost is chosen. Its unit is the policy's own: ms, or a number of requests. */
 	readonly cost: number;
 	readonly reason: () => string;
 };
