--- a/packages/entry/src/lib/choice/create-endpoint-chooser.ts
+++ b/packages/entry/src/lib/choice/create-endpoint-chooser.ts
@@ -1,5 +1,5 @@
 import {
-	chooseEndpoint, closureOfAll, rateByAffinity, stepEndpoints, type EndpointTable, type WarmupRules,
+	chooseEndpoint, exclusionOfAll, scoreByAffinity, stepEndpoints, type EndpointTable, type WarmupRules,
 } from '@deckwheel/routing';
 import type {ListedEndpoint} from '../../adapter/listed-endpoint.js';
 import type {PromptPart} from '../admission/prompt-part.js';
@@ -28,58 +28,58 @@
 export const createEndpointChooser = ({hall, isLost, warmupRules, now}: Options): EndpointChooser => {
 	const cacheEstimate = createPrefixCacheEstimate();
 	const preferredEndpoints = createPreferredEndpoints();
-	let halls: readonly string[] = [];
+	let listedHalls: readonly string[] = [];
 	let table: EndpointTable = new Map();
 	let byId: ReadonlyMap<string, ListedEndpoint> = new Map();
 	let evacuations: Evacuations = {halls: new Set(), reopenedAt: new Map()};
 
-	const lostHalls = (): ReadonlySet<string> => new Set(halls.filter(name => isLost(name)));
+	const unreachableHalls = (): ReadonlySet<string> => new Set(listedHalls.filter(name => isLost(name)));
 
 	// Prompts are not to be read first where no request goes any more.
-	const listPreferred = (): void => {
+	const updatePreferred = (): void => {
 		preferredEndpoints.list([...byId.values()].filter(({id}) => {
 			const {info} = table.get(id)!;
 			return !info.isLeaving && !evacuations.halls.has(info.hall);
 		}));
 	};
 
-	const limitsOf = ({service, regions}: Pick<ChoiceRequest, 'service' | 'regions'>) => ({
-		target: service, hall, lostHalls: lostHalls(), evacuatedHalls: evacuations.halls, regions, warmup: warmupRules?.(service, evacuations.reopenedAt),
+	const constraintsOf = ({service, regions}: Pick<ChoiceRequest, 'service' | 'regions'>) => ({
+		target: service, hall, unreachableHalls: unreachableHalls(), evacuatedHalls: evacuations.halls, regions, warmup: warmupRules?.(service, evacuations.reopenedAt),
 	});
 
 	return {
 		list(endpoints) {
 			byId = new Map(endpoints.map(endpoint => [endpoint.id, endpoint]));
 			table = stepEndpoints(table, {type: 'configured', endpoints}, now());
-			halls = [...new Set(endpoints.map(endpoint => endpoint.hall))];
-			listPreferred();
+			listedHalls = [...new Set(endpoints.map(endpoint => endpoint.hall))];
+			updatePreferred();
 		},
 		evacuate(next) {
 			evacuations = stepEvacuations(evacuations, next, now());
-			listPreferred();
+			updatePreferred();
 		},
 		choose({parts, tried, avoidedHalls, ...request}) {
 			const key = affinityKey(parts);
-			const preferred = key === undefined ? undefined : preferredEndpoints.of(request.service, key);
+			const preferred = key === undefined ? undefined : preferredEndpoints.endpointFor(request.service, key);
 			const choice = chooseEndpoint(table, {
-				...limitsOf(request),
+				...constraintsOf(request),
 				cachedTokens: endpoint => cacheEstimate.cachedTokens(endpoint, parts, preferred),
 				promptTokens: parts.reduce((sum, {tokens}) => sum + tokens, 0),
 				avoidedHalls,
 				tried,
-			}, now(), rateByAffinity);
+			}, now(), scoreByAffinity);
 			return choice && {endpoint: byId.get(choice.endpoint)!, reason: choice.reason};
 		},
-		started(endpoint, parts) {
-			cacheEstimate.note(endpoint, parts);
+		noteStarted(endpoint, parts) {
+			cacheEstimate.noteSent(endpoint, parts);
 			table = stepEndpoints(table, {type: 'started', endpoint}, now());
 		},
-		closureOfAll: request => closureOfAll(table, limitsOf(request), now()),
+		exclusionOfAll: request => exclusionOfAll(table, constraintsOf(request), now()),
 		note(event) {
-			const wasLeaving = table.get(event.endpoint)?.hasSaidLeaving;
+			const wasLeaving = table.get(event.endpoint)?.hasAnnouncedLeaving;
 			table = stepEndpoints(table, event, now());
 			if (event.type === 'leaving' && !wasLeaving) {
-				listPreferred();
+				updatePreferred();
 			}
 		},
 	};
--- a/packages/entry/src/lib/request/host-services.ts
+++ b/packages/entry/src/lib/request/host-context.ts
@@ -1,5 +1,5 @@
 import type {ServerResponse} from 'node:http';
-import type {PoisonWatch} from '@deckwheel/poison';
+import type {PoisonDetector} from '@deckwheel/poison';
 import type {Bounds} from '../../adapter/bounds.js';
 import type {FleetConfig} from '../../config/fleet-config.js';
 import type {HeaderNames} from '../../adapter/header-names.js';
@@ -9,21 +9,21 @@
 import type {RetryLimiter} from '../host/retry-limiter.js';
 import type {ConnectionPool} from '../sending/connection-pool.js';
 import type {EndpointChooser} from '../choice/endpoint-chooser.js';
-import type {HallWatch} from '../hall-health/hall-watch.js';
+import type {HallMonitor} from '../hall-health/hall-monitor.js';
 import type {EndpointLimits} from '../request-limits/endpoint-limits.js';
 import type {RightsKeeper} from '../rights/rights-keeper.js';
 
 /** What serving a request needs of the host. */
-export type HostServices = {
+export type HostContext = {
 	readonly config: () => FleetConfig | undefined;
 	/** Whether a caller's connection is closed after this answer. */
 	readonly closesAfter: (res: ServerResponse) => boolean;
 	/** Whether this host was told to stop. */
 	readonly isStopping: () => boolean;
 	/** Whether a request may still be sent to an endpoint, by its deadline in monotonic ms. Asked right before each sending. */
-	readonly maySendOn: (deadline: number) => boolean;
+	readonly mayForward: (deadline: number) => boolean;
 	/** Aborted shortly before a stop ends: the deadline of all that are open. */
-	readonly ending: AbortSignal;
+	readonly shutdownSignal: AbortSignal;
 	/** Whether this host is too late with its own work to judge others by the time that they take. */
 	readonly isOverloaded: () => boolean;
 	/** Whether one more request is better served by another host. */
@@ -32,12 +32,12 @@
 	readonly waitedMs: (res: ServerResponse) => number;
 	/** Notes how long an endpoint took to accept a connection, in ms. */
 	readonly noteConnect: (endpoint: ListedEndpoint, tookMs: number) => void;
-	readonly unreadPatience: Bounds['unreadPatience'];
+	readonly unreadTimeout: Bounds['unreadTimeout'];
 	readonly headerNames: HeaderNames;
 	readonly chooser: EndpointChooser;
 	readonly limits: Pick<EndpointLimits, 'noteAnswer' | 'isLimited' | 'obtain'>;
-	readonly halls: HallWatch;
-	readonly poison: PoisonWatch;
+	readonly halls: HallMonitor;
+	readonly poison: PoisonDetector;
 	readonly rights: RightsKeeper;
 	readonly pool: ConnectionPool;
 	readonly retries: RetryLimiter;
--- a/packages/routing/src/endpoints/choose-endpoint.ts
+++ b/packages/routing/src/endpoints/choose-endpoint.ts
@@ -1,40 +1,42 @@
-import type {RateEndpoint} from '../ratings/rate-endpoint.js';
-import type {RatedEndpoint} from '../ratings/rated-endpoint.js';
+import type {ScoreEndpoint} from '../scoring/score-endpoint.js';
+import type {ScoredEndpoint} from '../scoring/scored-endpoint.js';
 import type {EndpointTable} from './endpoint-table.js';
 import type {EndpointChoice} from './endpoint-choice.js';
 import type {EndpointRequest} from './endpoint-request.js';
-import {findClosure} from './find-closure.js';
+import {findExclusion} from './find-exclusion.js';
 
-const isBetter = (a: RatedEndpoint, b: RatedEndpoint): boolean => {
-	if (a.hasRoom !== b.hasRoom) {
-		return a.hasRoom;
+const isBetter = (a: ScoredEndpoint, b: ScoredEndpoint): boolean => {
+	if (a.hasCapacity !== b.hasCapacity) {
+		return a.hasCapacity;
 	}
 
 	return a.cost === b.cost ? a.endpoint < b.endpoint : a.cost < b.cost;
 };
 
 /**
-Chooses the endpoint with the least expected cost, or `undefined` when none can serve the request.
+Chooses the endpoint with the lowest cost, or returns `undefined` when no endpoint can serve the request. Pure.
 
-An endpoint with room is preferred to one without. Left out are endpoints that this request tried, and those that are closed
-to it (`findClosure`). `deckwheeld` rates by `rateByCost`, the entry host on a platform by `rateByAffinity`.
+An endpoint with free capacity is preferred to one without, whatever their costs. Endpoints that the request has already been sent
+to and those that `findExclusion` excludes are left out. `deckwheeld` passes `scoreByCost` by default, the entry host on a
+platform passes `scoreByAffinity`.
 
 @param now Monotonic ms.
+@param scoreEndpoint The routing policy.
 */
-export const chooseEndpoint = <R extends EndpointRequest>(table: EndpointTable, request: R, now: number, rate: RateEndpoint<R>): EndpointChoice | undefined => {
-	let best: RatedEndpoint | undefined;
+export const chooseEndpoint = <R extends EndpointRequest>(table: EndpointTable, request: R, now: number, scoreEndpoint: ScoreEndpoint<R>): EndpointChoice | undefined => {
+	let best: ScoredEndpoint | undefined;
 	for (const state of table.values()) {
-		if (request.tried.includes(state.info.id) || findClosure(state, request, now)) {
+		if (request.tried.includes(state.info.id) || findExclusion(state, request, now)) {
 			continue;
 		}
 
-		const rated = rate(state, request, now);
-		if (rated && (!best || isBetter(rated, best))) {
-			best = rated;
+		const scored = scoreEndpoint(state, request, now);
+		if (scored && (!best || isBetter(scored, best))) {
+			best = scored;
 		}
 	}
 
 	return best && {
-		endpoint: best.endpoint, reason: best.reason(), hasRoom: best.hasRoom,
+		endpoint: best.endpoint, reason: best.reason(), hasCapacity: best.hasCapacity,
 	};
 };
--- /dev/null
+++ b/packages/routing/src/endpoints/exclusion-of-all.ts
@@ -0,0 +1,27 @@
+import type {EndpointExclusion} from './endpoint-exclusion.js';
+import type {EndpointRequest} from './endpoint-request.js';
+import type {EndpointTable} from './endpoint-table.js';
+import {findExclusion} from './find-exclusion.js';
+
+const isOfService = (exclusion: EndpointExclusion | undefined): boolean => exclusion?.reason !== 'unlisted' && exclusion?.reason !== 'other_service';
+
+const findFirstToEnd = (exclusions: readonly EndpointExclusion[]): EndpointExclusion | undefined =>
+	exclusions.filter(({until}) => until !== undefined).sort((one, other) => one.until! - other.until!)[0];
+
+/**
+Tells why every endpoint of a service is excluded for a request: the exclusion that ends first, else an evacuation. Pure.
+
+Returns `undefined` where an endpoint is open to the request, where the service has no endpoint, and where all exclusions are for
+other reasons and have no known end.
+
+@param now Monotonic ms.
+*/
+export const exclusionOfAll = (table: EndpointTable, request: Omit<EndpointRequest, 'tried'>, now: number): EndpointExclusion | undefined => {
+	const found = [...table.values()].map(state => findExclusion(state, request, now)).filter(exclusion => isOfService(exclusion));
+	const exclusions = found.filter(exclusion => exclusion !== undefined);
+	if (exclusions.length < found.length) {
+		return undefined;
+	}
+
+	return findFirstToEnd(exclusions) ?? exclusions.find(({reason}) => reason === 'evacuated');
+};
