--- a/packages/daemon/src/lib/draws/start-draw-task.ts
+++ b/packages/daemon/src/lib/draws/start-draw-task.ts
@@ -1,5 +1,5 @@
 import {
-	accountOf, available, drawAmount, emptyLedger, holdAheadByShare, planDraw, surplus, transferred, viewStore, type DrawRequest, type HoldAhead, type RightsObject, type StoreView,
+	accountOf, available, drawAmount, emptyLedger, holdingPolicyByShare, planDraw, surplus, transferred, viewStore, type DrawRequest, type HoldingPolicy, type RightsObject, type StoreView,
 } from '@deckwheel/ledger';
 import type {Bundle} from '@deckwheel/bundle';
 import type {Context} from '../process/context.js';
@@ -46,7 +46,7 @@
 	const cache = createRightsCache(context);
 
 	const hallCount = (): number => bundle()?.halls.length ?? 1;
-	const policy = (): HoldAhead => holdAheadByShare(bundle()?.policy ?? {shareOfRest: defaultShareOfRest});
+	const policy = (): HoldingPolicy => holdingPolicyByShare(bundle()?.policy ?? {shareOfRest: defaultShareOfRest});
 
 	const drawRequests = (slot: number): readonly DrawRequest[] => {
 		const {ledger} = (slots.replica(slot)!);
@@ -78,7 +78,7 @@
 			const tokensPerSecond = meter.rate(budget);
 			const store = viewStore(record, ledger.holder, tokensPerSecond);
 			const amount = surplus({
-				account, store, holdAhead: policy(), tokensPerSecond, holders: hallCount(),
+				account, store, holdingPolicy: policy(), tokensPerSecond, holders: hallCount(),
 			});
 			return amount > 0 ? [{budget, amount}] : [];
 		});
--- a/packages/daemon/src/lib/placing/create-request-queue.ts
+++ b/packages/daemon/src/lib/placing/create-request-queue.ts
@@ -26,7 +26,7 @@
 /** Creates an empty queue. Who may wait, who is next and who is refused is decided by the request queue of `routing`. */
 export const createRequestQueue = ({clock, metrics}: Context, {takePlace, hasPlace, onWait}: Options): RequestQueue => {
 	const waiters = new Map<number, Waiter>();
-	let room: QueueState = emptyRequestQueue;
+	let queue: QueueState = emptyRequestQueue;
 	let nextId = 1;
 
 	const overloaded = (): Result<Place, Refusal> => {
@@ -35,7 +35,7 @@
 			code: 'overloaded',
 			message: 'All endpoints are busy, and the request could not start in time.',
 			ran: 'not_run',
-			retryAfterSeconds: queueRetryAfterSeconds(room),
+			retryAfterSeconds: queueRetryAfterSeconds(queue),
 		});
 	};
 
@@ -48,8 +48,8 @@
 	};
 
 	const startNext = (): boolean => {
-		const exit = dequeueRequest(room, ({id}) => hasPlace(waiters.get(id)!.req), clock.monotonic());
-		room = exit.queue;
+		const exit = dequeueRequest(queue, ({id}) => hasPlace(waiters.get(id)!.req), clock.monotonic());
+		queue = exit.queue;
 		if (!exit.next) {
 			return false;
 		}
@@ -64,10 +64,10 @@
 		async wait(request, maxQueued) {
 			const {target, organisation, weight, priority, deadline} = request;
 			const id = nextId++;
-			const entry = enqueueRequest(room, {
+			const entry = enqueueRequest(queue, {
 				id, target, organisation, weight, priority, startBy: deadline,
 			}, maxQueued, clock.monotonic());
-			room = entry.queue;
+			queue = entry.queue;
 			if (!entry.isAdmitted) {
 				return overloaded();
 			}
@@ -77,20 +77,20 @@
 				waiters.set(id, {req: request, resolve});
 			});
 		},
-		isAhead: ({priority}) => room.waiting.some(other => other.priority === priority || priority === 'slow' || other.priority === 'quick'),
+		isAhead: ({priority}) => queue.waiting.some(other => other.priority === priority || priority === 'slow' || other.priority === 'quick'),
 		pump() {
-			const {room: next, expired} = expireQueuedRequests(room, clock.monotonic());
-			room = next;
+			const {queue: next, expired} = expireQueuedRequests(queue, clock.monotonic());
+			queue = next;
 			turnAway(expired);
-			while (room.waiting.length > 0 && startNext()) {
+			while (queue.waiting.length > 0 && startNext()) {
 				// Each turn starts one request.
 			}
 
-			metrics.gauge('queue.length', room.waiting.length);
+			metrics.gauge('queue.length', queue.waiting.length);
 		},
-		length: () => room.waiting.length,
+		length: () => queue.waiting.length,
 		turnAllAway() {
-			turnAway(room.waiting);
+			turnAway(queue.waiting);
 		},
 	};
 };
--- a/packages/entry/src/lib/admission/answer-refusal.ts
+++ b/packages/entry/src/lib/admission/send-refusal.ts
@@ -4,7 +4,7 @@
 import type {HostRefusal} from './host-refusal.js';
 
 /** Answers a request that gets no endpoint's answer. Once an answer began, it is broken off, so that it does not look whole. */
-export const answerRefusal = (res: ServerResponse, refusal: HostRefusal, idHeader: readonly string[]): void => {
+export const sendRefusal = (res: ServerResponse, refusal: HostRefusal, idHeader: readonly string[]): void => {
 	if (res.headersSent) {
 		res.destroy();
 		return;
--- a/packages/entry/src/lib/last-part/last-part.ts
+++ b/packages/entry/src/lib/budget-pacing/budget-pacer.ts
@@ -1,5 +1,5 @@
 /** The last part of budgets: more urgent requests get it before others, and after most hosts have died it is spread over some time. */
-export type LastPart = {
+export type BudgetPacer = {
 	/**
 	For whom what is left is kept from a request of this many tokens: for more urgent requests, or for later ones. `undefined`: it is not.
 
--- a/packages/entry/src/lib/last-part/create-last-part.ts
+++ b/packages/entry/src/lib/budget-pacing/create-budget-pacer.ts
@@ -7,7 +7,7 @@
 import {isAfterDeaths} from './is-after-deaths.js';
 import {isAheadOfPace} from './is-ahead-of-pace.js';
 import {isKeptForUrgent} from './is-kept-for-urgent.js';
-import type {LastPart} from './last-part.js';
+import type {BudgetPacer} from './budget-pacer.js';
 import type {Pace} from './pace.js';
 import {planLasting} from './plan-lasting.js';
 import {stepPace} from './step-pace.js';
@@ -42,7 +42,7 @@
 Creates the task that keeps the last part of budgets for more urgent and for later requests. It owns the record of how urgent the
 demand is, and how far this host is ahead of the pace on each budget.
 */
-export const createLastPart = ({holder, accounts, rightsOf, startedAt, now}: Options): LastPart => {
+export const createBudgetPacer = ({holder, accounts, rightsOf, startedAt, now}: Options): BudgetPacer => {
 	const urgency = createUrgencyRecord(now);
 	const paces = new Map<string, Pace>();
 
@@ -57,7 +57,7 @@
 	};
 
 	const viewLeft = (budget: string, rights: BudgetRights): LeftOfBudget => {
-		const account = accounts.of(budget);
+		const account = accounts.get(budget);
 		const rate = demandRate(account);
 		const {fleetTokensPerSecond, demandShare} = viewStore(rights, holder, rate);
 		return {
--- a/packages/entry/src/lib/choice/create-endpoint-chooser.ts
+++ b/packages/entry/src/lib/choice/create-endpoint-chooser.ts
@@ -14,7 +14,7 @@
 	/** The host's own. */
 	readonly hall: string;
 	/** Whether another hall is out of reach. */
-	readonly isLost: (hall: string) => boolean;
+	readonly isUnreachable: (hall: string) => boolean;
 	/** How endpoints of a service may be used while they warm up. `reopenedAt`: as in `WarmupRules`. */
 	readonly warmupRules?: (service: string, reopenedAt: ReadonlyMap<string, number>) => WarmupRules | undefined;
 	/** Monotonic ms. */
@@ -25,7 +25,7 @@
 const affinityKey = (parts: readonly PromptPart[]): string | undefined => parts.at(-2)?.id;
 
 /** Creates the task that knows the endpoints. */
-export const createEndpointChooser = ({hall, isLost, warmupRules, now}: Options): EndpointChooser => {
+export const createEndpointChooser = ({hall, isUnreachable, warmupRules, now}: Options): EndpointChooser => {
 	const cacheEstimate = createPrefixCacheEstimate();
 	const preferredEndpoints = createPreferredEndpoints();
 	let halls: readonly string[] = [];
@@ -33,7 +33,7 @@
 	let byId: ReadonlyMap<string, ListedEndpoint> = new Map();
 	let evacuations: Evacuations = {halls: new Set(), reopenedAt: new Map()};
 
-	const lostHalls = (): ReadonlySet<string> => new Set(halls.filter(name => isLost(name)));
+	const lostHalls = (): ReadonlySet<string> => new Set(halls.filter(name => isUnreachable(name)));
 
 	// Prompts are not to be read first where no request goes any more.
 	const listPreferred = (): void => {
--- a/packages/entry/src/lib/host/run-shutdown.ts
+++ b/packages/entry/src/lib/host/run-shutdown.ts
@@ -1,12 +1,12 @@
 import type {Log} from '../../adapter/log.js';
-import type {RightsKeeper} from '../rights/rights-keeper.js';
+import type {RightsManager} from '../rights/rights-manager.js';
 import type {RequestCounter} from './request-counter.js';
 import type {Servers} from './servers.js';
 import type {ShutdownPlan} from './shutdown-plan.js';
 
 type Options = {
 	readonly servers: Pick<Servers, 'closeIdleConnections' | 'stopListening'>;
-	readonly rights: Pick<RightsKeeper, 'retire'>;
+	readonly rights: Pick<RightsManager, 'retire'>;
 	readonly open: Pick<RequestCounter, 'count' | 'untilNone'>;
 	readonly plan: Pick<ShutdownPlan, 'listenUntil' | 'endBy'>;
 	/** Waits until a monotonic time, in ms. */
--- a/packages/entry/src/lib/host/start-peer-tasks.ts
+++ b/packages/entry/src/lib/host/start-peer-tasks.ts
@@ -16,8 +16,8 @@
 import type {EndpointLimits} from '../request-limits/endpoint-limits.js';
 import {limitsReplySchema} from '../request-limits/limits-reply-schema.js';
 import {permitReplySchema} from '../request-limits/permit-reply-schema.js';
-import {createRightsKeeper} from '../rights/create-rights-keeper.js';
-import type {RightsKeeper} from '../rights/rights-keeper.js';
+import {createRightsManager} from '../rights/create-rights-manager.js';
+import type {RightsManager} from '../rights/rights-manager.js';
 import {createChangeBoard} from '../store-changes/create-change-board.js';
 import {createStoreChanges} from '../store-changes/create-store-changes.js';
 import {repeatByTimer} from './repeat-by-timer.js';
@@ -45,7 +45,7 @@
 
 /** What a host shares with its peers: rights on budgets, and what it sees of the store. */
 type PeerTasks = {
-	readonly rights: RightsKeeper;
+	readonly rights: RightsManager;
 	readonly poison: PoisonDetector;
 	readonly limits: EndpointLimits;
 	readonly storeChanges: StoreChanges;
@@ -71,7 +71,7 @@
 		log,
 		now,
 	});
-	const rights = createRightsKeeper({
+	const rights = createRightsManager({
 		host, holder, store: rightsStore, loanClient, links: () => links, timeouts, log, now,
 	});
 	const askPeer = async <T>(asked: string, message: {readonly type: string}, schema: z.ZodType<T>): Promise<T | undefined> => {
--- a/packages/entry/src/lib/lending/create-borrower.ts
+++ b/packages/entry/src/lib/lending/create-borrower.ts
@@ -38,7 +38,7 @@
 	const waiting = new Map<string, readonly LoanNeed[]>();
 
 	const planOf = (budget: string, tokens: number) => planBorrowing({
-		available: accounts.available(budget), rate: demandRate(accounts.of(budget)), tokens,
+		available: accounts.available(budget), rate: demandRate(accounts.get(budget)), tokens,
 	});
 
 	const waitingFor = (budget: string): readonly LoanNeed[] => waiting.get(budget) ?? [];
@@ -59,7 +59,7 @@
 		const hasReachedStore = loanClient.borrow({
 			budget,
 			tokens: planOf(budget, all).wanted,
-			demanded: accounts.of(budget).demanded + all,
+			demanded: accounts.get(budget).demanded + all,
 			rank: rankOfNeeds(waitingFor(budget)),
 			peers,
 			deadline,
@@ -110,7 +110,7 @@
 			const {lent, total} = accounts.lend(budget, {to: allocator.holder, tokens: surplus, share: 1});
 			log('rights_handed_back', {to: allocator.holder, budget, tokens: lent});
 			if (await loanClient.handBack(allocator, budget, total) === 'refused') {
-				accounts.step(budget, {type: 'not_taken', by: allocator.holder, tokens: lent});
+				accounts.apply(budget, {type: 'not_taken', by: allocator.holder, tokens: lent});
 			}
 		},
 	};
--- a/packages/entry/src/lib/lending/create-lender.ts
+++ b/packages/entry/src/lib/lending/create-lender.ts
@@ -1,7 +1,7 @@
 import type {Log} from '../../adapter/log.js';
 import type {Accounts} from '../rights/accounts.js';
-import type {LastPart} from '../last-part/last-part.js';
-import type {RightsObtainer} from '../rights/rights-obtainer.js';
+import type {BudgetPacer} from '../budget-pacing/budget-pacer.js';
+import type {RightsAcquirer} from '../rights/rights-acquirer.js';
 import type {Allocators} from './allocators.js';
 import {createClientDemand} from './create-client-demand.js';
 import type {LoanReply} from './loan-reply.js';
@@ -12,27 +12,27 @@
 type Options = {
 	readonly accounts: Accounts;
 	readonly allocators: Allocators;
-	readonly obtainer: Pick<RightsObtainer, 'obtainForClient'>;
-	readonly lastPart: LastPart;
+	readonly acquirer: Pick<RightsAcquirer, 'acquireForClient'>;
+	readonly budgetPacer: BudgetPacer;
 	readonly isStoreUp: () => boolean;
 	readonly isRetiring: () => boolean;
 	readonly log: Log;
 };
 
 /** Creates the function that answers a peer that asks for rights. Rights leave this host's account before the reply is sent. */
-export const createLender = ({accounts, allocators, obtainer, lastPart, isStoreUp, isRetiring, log}: Options) => {
+export const createLender = ({accounts, allocators, acquirer, budgetPacer, isStoreUp, isRetiring, log}: Options) => {
 	const clientDemand = createClientDemand();
 
 	return async (to: string, {budget, tokens, demanded, received, rank}: LoanRequest): Promise<LoanReply> => {
-		const givenTo = (): number => accounts.of(budget).given.get(to) ?? 0;
+		const givenTo = (): number => accounts.get(budget).given.get(to) ?? 0;
 		const isClient = allocators.isClient(to, budget);
 		const share = loanShare(isClient);
-		const isRefused = isClient && rank !== undefined && lastPart.keptFor(budget, rank.tokens, rank.priority) !== undefined;
+		const isRefused = isClient && rank !== undefined && budgetPacer.keptFor(budget, rank.tokens, rank.priority) !== undefined;
 		// Hosts that draw for themselves, here or in other halls, are peers in need and no lasting demand on this one.
 		if (isClient) {
-			accounts.step(budget, {type: 'demanded', by: 'client', tokens: clientDemand.note(to, budget, demanded)});
+			accounts.apply(budget, {type: 'demanded', by: 'client', tokens: clientDemand.note(to, budget, demanded)});
 			if (!isRefused) {
-				await obtainer.obtainForClient(budget, Math.ceil(planLoan({asked: tokens, given: givenTo(), received}) / share));
+				await acquirer.acquireForClient(budget, Math.ceil(planLoan({asked: tokens, given: givenTo(), received}) / share));
 			}
 		}
 
@@ -40,7 +40,7 @@
 		const missing = isRetiring() || isRefused ? 0 : planLoan({asked: tokens, given: givenTo(), received});
 		const {lent, total} = accounts.lend(budget, {to, tokens: missing, share});
 		if (isClient && rank && lent > 0) {
-			lastPart.note(budget, rank.priority, rank.tokens);
+			budgetPacer.note(budget, rank.priority, rank.tokens);
 		}
 
 		log('rights_lent', {
--- a/packages/entry/src/lib/request-limits/create-endpoint-limits.ts
+++ b/packages/entry/src/lib/request-limits/create-endpoint-limits.ts
@@ -91,13 +91,13 @@
 		peersListed: exchange.peersListed,
 		answerLimits: exchange.answer,
 		isLimited: endpoint => table.perSecond(endpoint) !== undefined,
-		async obtain(endpoint) {
+		async acquire(endpoint) {
 			if (!isSettled()) {
 				return {isGranted: false, retryAt: now() + unsettledMs};
 			}
 
 			const ranked = coordinators(endpoint);
-			const permit = await client.obtain(endpoint, ranked);
+			const permit = await client.acquire(endpoint, ranked);
 			if (permit === 'unanswered') {
 				count('unanswered');
 				return {isGranted: false, retryAt: client.askAgainAt(ranked)};
--- a/packages/entry/src/lib/request-limits/create-permit-client.ts
+++ b/packages/entry/src/lib/request-limits/create-permit-client.ts
@@ -24,10 +24,10 @@
 	readonly now: () => number;
 };
 
-/** Obtains permits from the coordinators of an endpoint. */
+/** Acquires permits from the coordinators of an endpoint. */
 type PermitClient = {
 	/** @param coordinators Their addresses, best first; this host may be one of them. */
-	readonly obtain: (endpoint: LimitedEndpoint, coordinators: readonly string[]) => Promise<Permit | 'unanswered'>;
+	readonly acquire: (endpoint: LimitedEndpoint, coordinators: readonly string[]) => Promise<Permit | 'unanswered'>;
 	/** When one of the coordinators may be asked again, in monotonic ms. */
 	readonly askAgainAt: (coordinators: readonly string[]) => number;
 };
@@ -53,7 +53,7 @@
 	};
 
 	return {
-		async obtain(endpoint, coordinators) {
+		async acquire(endpoint, coordinators) {
 			for (const [rank, address] of coordinators.entries()) {
 				const perSecond = table.perSecond(endpoint.id);
 				if (perSecond === undefined) {
--- a/packages/entry/src/lib/request-limits/endpoint-limits.ts
+++ b/packages/entry/src/lib/request-limits/endpoint-limits.ts
@@ -9,8 +9,8 @@
 export type EndpointLimits = Pick<LimitExchange, 'noteAnswer' | 'peersListed'> & {
 	/** Whether a request needs a permit now. */
 	readonly isLimited: (endpoint: string) => boolean;
-	/** Obtains a permit for one request to an endpoint with a limit. */
-	readonly obtain: (endpoint: LimitedEndpoint) => Promise<Permit>;
+	/** Acquires a permit for one request to an endpoint with a limit. */
+	readonly acquire: (endpoint: LimitedEndpoint) => Promise<Permit>;
 	/** Answers a peer that asks this host, as a coordinator, for a permit. */
 	readonly answerPermit: (asker: ListedPeer, question: Omit<PermitQuestion, 'asker'>) => PermitReply;
 	/** Answers a peer that reports limits, or asks for them. */
--- a/packages/entry/src/lib/request/create-request-log.ts
+++ b/packages/entry/src/lib/request/create-request-log.ts
@@ -1,5 +1,5 @@
 import type {ServerResponse} from 'node:http';
-import {answerRefusal} from '../admission/answer-refusal.js';
+import {sendRefusal} from '../admission/send-refusal.js';
 import type {HostContext} from './host-context.js';
 import type {RequestLog} from './request-log.js';
 
@@ -23,7 +23,7 @@
 				res.shouldKeepAlive = false;
 			}
 
-			answerRefusal(res, refusal, id === '' ? [] : [headerNames.requestId, id]);
+			sendRefusal(res, refusal, id === '' ? [] : [headerNames.requestId, id]);
 		},
 		answered(status, fields) {
 			log('request_answered', {
--- a/packages/entry/src/lib/request/host-context.ts
+++ b/packages/entry/src/lib/request/host-context.ts
@@ -11,7 +11,7 @@
 import type {EndpointChooser} from '../choice/endpoint-chooser.js';
 import type {HallMonitor} from '../hall-health/hall-monitor.js';
 import type {EndpointLimits} from '../request-limits/endpoint-limits.js';
-import type {RightsKeeper} from '../rights/rights-keeper.js';
+import type {RightsManager} from '../rights/rights-manager.js';
 
 /** What serving a request needs of the host. */
 export type HostContext = {
@@ -35,10 +35,10 @@
 	readonly unreadTimeout: Bounds['unreadTimeout'];
 	readonly headerNames: HeaderNames;
 	readonly chooser: EndpointChooser;
-	readonly limits: Pick<EndpointLimits, 'noteAnswer' | 'isLimited' | 'obtain'>;
+	readonly limits: Pick<EndpointLimits, 'noteAnswer' | 'isLimited' | 'acquire'>;
 	readonly halls: HallMonitor;
 	readonly poison: PoisonDetector;
-	readonly rights: RightsKeeper;
+	readonly rights: RightsManager;
 	readonly pool: ConnectionPool;
 	readonly retries: RetryLimiter;
 	/** For an endpoint to accept a connection, in ms. */
--- a/packages/entry/src/lib/request/run-attempt.ts
+++ b/packages/entry/src/lib/request/run-attempt.ts
@@ -30,17 +30,17 @@
 const hasBody = ({req, body}: RequestInputs): boolean =>
 	body.length > 0 || req.headers['content-length'] !== undefined || req.headers['transfer-encoding'] !== undefined;
 
-const noteNotice = ({id}: ListedEndpoint, {isLeaving, restUntil, requestLimit}: EndpointNotice, {chooser, log, now}: HostContext): void => {
+const noteNotice = ({id}: ListedEndpoint, {isLeaving, backoffUntil, requestLimit}: EndpointNotice, {chooser, log, now}: HostContext): void => {
 	if (isLeaving) {
 		chooser.note({type: 'leaving', endpoint: id});
 	}
 
-	if (restUntil !== undefined) {
-		chooser.note({type: 'rest_asked', endpoint: id, until: restUntil});
+	if (backoffUntil !== undefined) {
+		chooser.note({type: 'rest_asked', endpoint: id, until: backoffUntil});
 	}
 
 	log('endpoint_notice', {
-		endpoint: id, leaving: isLeaving, rest_ms: restUntil === undefined ? undefined : Math.round(restUntil - now()), limit_per_s: requestLimit,
+		endpoint: id, leaving: isLeaving, rest_ms: backoffUntil === undefined ? undefined : Math.round(backoffUntil - now()), limit_per_s: requestLimit,
 	});
 };
 
--- a/packages/entry/src/lib/request/run-request.ts
+++ b/packages/entry/src/lib/request/run-request.ts
@@ -3,7 +3,7 @@
 import {createResponseWriter} from '../relaying/create-response-writer.js';
 import {isRetryable} from '../admission/is-retryable.js';
 import {regionsOf} from '../choice/regions-of.js';
-import {obtainPermit} from '../request-limits/obtain-permit.js';
+import {acquirePermit} from '../request-limits/acquire-permit.js';
 import type {AttemptEnd} from './attempt-end.js';
 import {createRequestEnd} from './create-request-end.js';
 import {decideNextStep} from './decide-next-step.js';
@@ -125,8 +125,8 @@
 			return next.type;
 		}
 
-		const isObtained = mayForward() && host.retries.mayRetry(service) && (next.needs === 'retry' || await request.reserveRun());
-		return isObtained && mayForward() ? next.type : next.otherwise;
+		const isAcquired = mayForward() && host.retries.mayRetry(service) && (next.needs === 'retry' || await request.reserveRun());
+		return isAcquired && mayForward() ? next.type : next.otherwise;
 	};
 
 	const tryEndpoint = async (endpoint: ListedEndpoint): Promise<AttemptEnd> => {
@@ -177,7 +177,7 @@
 		}
 
 		if (host.limits.isLimited(choice.endpoint.id)) {
-			if (!await obtainPermit(choice.endpoint, host)) {
+			if (!await acquirePermit(choice.endpoint, host)) {
 				continue;
 			}
 
--- a/packages/entry/src/lib/rights-store/create-draw-queue.ts
+++ b/packages/entry/src/lib/rights-store/create-draw-queue.ts
@@ -22,7 +22,7 @@
 	const flushFor = async (waiter: Waiter): Promise<void> => {
 		const slot = writer().slotOf(waiter.budget);
 		// A write that is under way was planned without this request.
-		await writer().idle(slot);
+		await writer().untilIdle(slot);
 		if (!waiters.includes(waiter)) {
 			return;
 		}
@@ -37,7 +37,7 @@
 		const concerned = planned.filter(entry => waiters.includes(entry));
 		waiters = waiters.filter(entry => !concerned.includes(entry));
 		for (const entry of concerned) {
-			entry.resolve(accounts.take(entry.budget, entry.tokens) ? 'reserved' : 'unavailable');
+			entry.resolve(accounts.tryReserve(entry.budget, entry.tokens) ? 'reserved' : 'unavailable');
 		}
 	};
 
--- a/packages/entry/src/lib/rights-store/create-restore-recovery.ts
+++ b/packages/entry/src/lib/rights-store/create-restore-recovery.ts
@@ -42,7 +42,7 @@
 			}
 
 			notedAt = now();
-			const held = accounts.budgets().filter(budget => accounts.of(budget).granted !== 0);
+			const held = accounts.budgets().filter(budget => accounts.get(budget).granted !== 0);
 			const slots = new Set(held.map(budget => writer.slotOf(budget)));
 			log('rights_restored', {budgets: held.length});
 			for (const slot of slots) {
--- a/packages/entry/src/lib/rights-store/create-slot-cache.ts
+++ b/packages/entry/src/lib/rights-store/create-slot-cache.ts
@@ -8,10 +8,10 @@
 A look at the store before a write is worth it when what is known is older than this, in ms. A look costs a tenth of a
 call, a write that meets a conflict a whole one.
 */
-const glanceAfterMs = 200;
+const peekAfterMs = 200;
 
 /** The store answers in a few ms; where it is slow, the write itself tells. In ms. */
-const glanceTimeoutMs = 100;
+const peekTimeoutMs = 100;
 
 /** What this host has seen of the slots' objects in the store. */
 type SlotCache = {
@@ -63,11 +63,11 @@
 		// Most writes would meet a change of another hall. Of what a cheap look shows, only the newer is taken, and its age
 		// is not known to be less than that of what was known before.
 		async refresh(slot, known) {
-			if (!state.isUp() || now() - known.readAt < glanceAfterMs) {
+			if (!state.isUp() || now() - known.readAt < peekAfterMs) {
 				return known;
 			}
 
-			const seen = await store.glance(`slot-${slot}`, glanceTimeoutMs);
+			const seen = await store.peek(`slot-${slot}`, peekTimeoutMs);
 			const latest = slots.get(slot) ?? known;
 			return !seen || seen.revision <= latest.revision ? latest : keep(slot, seen, latest.readAt);
 		},
--- a/packages/entry/src/lib/rights-store/create-slot-writer.ts
+++ b/packages/entry/src/lib/rights-store/create-slot-writer.ts
@@ -53,8 +53,8 @@
 		new Map([...limits().byBudget].filter(([budget]) => slotOf(budget) === slot));
 
 	const takeGrant = (budget: string, granted: number, rest: number | undefined): void => {
-		const drawn = granted - accounts.of(budget).granted;
-		accounts.step(budget, {type: 'granted', total: granted});
+		const drawn = granted - accounts.get(budget).granted;
+		accounts.apply(budget, {type: 'granted', total: granted});
 		if (drawn > 0) {
 			log('rights_drawn', {
 				budget, tokens: drawn, granted, rest,
@@ -64,7 +64,7 @@
 
 	const writeSlot = async (slot: number, known: KnownSlot): Promise<'done' | 'again' | 'failed'> => {
 		const plan = planSlotWrite({
-			host, holder, rights: known.rights, limits: limitsOf(slot), version: limits().version, era: known.era, accountOf: accounts.of, isConcerned, wants,
+			host, holder, rights: known.rights, limits: limitsOf(slot), version: limits().version, era: known.era, accountOf: accounts.get, isConcerned, wants,
 		});
 		if (plan.type === 'deposed') {
 			return 'failed';
@@ -121,14 +121,14 @@
 			return rights && limit !== undefined && version >= (rights.limitVersion ?? 0) ? {...rights, limit} : rights;
 		},
 		ageOf: budget => now() - (cache.get(slotOf(budget))?.readAt ?? 0),
-		async look(slot) {
+		async refresh(slot) {
 			const known = cache.get(slot);
 			if (known) {
 				await cache.refresh(slot, known);
 			}
 		},
 		isBusy: slot => busy.has(slot),
-		async idle(slot) {
+		async untilIdle(slot) {
 			await busy.get(slot);
 		},
 		async flush(slot) {
--- a/packages/entry/src/lib/rights-store/slot-writer.ts
+++ b/packages/entry/src/lib/rights-store/slot-writer.ts
@@ -8,10 +8,10 @@
 	readonly ageOf: (budget: string) => number;
 	readonly slotOf: (budget: string) => number;
 	/** Looks at a slot's object, cheaply and without a write, unless it is known from a moment ago. */
-	readonly look: (slot: number) => Promise<void>;
+	readonly refresh: (slot: number) => Promise<void>;
 	readonly isBusy: (slot: number) => boolean;
 	/** Resolves when no write of the slot is under way. */
-	readonly idle: (slot: number) => Promise<void>;
+	readonly untilIdle: (slot: number) => Promise<void>;
 	/** Writes what the accounts of a slot hold and want; joins a write that is under way. `true`: the store took it. */
 	readonly flush: (slot: number) => Promise<boolean>;
 };
--- a/packages/entry/src/lib/rights/create-accounts.ts
+++ b/packages/entry/src/lib/rights/create-accounts.ts
@@ -7,28 +7,28 @@
 /** Creates empty accounts. */
 export const createAccounts = (): Accounts => {
 	const accounts = new Map<string, HostAccount>();
-	const of: Accounts['of'] = budget => accounts.get(budget) ?? emptyHostAccount;
-	const available: Accounts['available'] = budget => availableOf(of(budget));
-	const step: Accounts['step'] = (budget, event) => {
-		accounts.set(budget, stepAccount(of(budget), event));
+	const of: Accounts['get'] = budget => accounts.get(budget) ?? emptyHostAccount;
+	const available: Accounts['available'] = budget => availableOf(get(budget));
+	const step: Accounts['apply'] = (budget, event) => {
+		accounts.set(budget, stepAccount(get(budget), event));
 	};
 
 	return {
-		of,
+		get,
 		available,
-		step,
-		take(budget, tokens) {
+		apply,
+		tryReserve(budget, tokens) {
 			const isEnough = available(budget) >= tokens;
 			if (isEnough) {
-				step(budget, {type: 'reserved', tokens});
+				apply(budget, {type: 'reserved', tokens});
 			}
 
 			return isEnough;
 		},
 		lend(budget, loan) {
-			const givenTo = (): number => of(budget).given.get(loan.to) ?? 0;
+			const givenTo = (): number => get(budget).given.get(loan.to) ?? 0;
 			const before = givenTo();
-			step(budget, {type: 'lent', ...loan});
+			apply(budget, {type: 'lent', ...loan});
 			const total = givenTo();
 			return {lent: total - before, total};
 		},
--- a/packages/entry/src/lib/rights/create-rights-obtainer.ts
+++ b/packages/entry/src/lib/rights/create-rights-acquirer.ts
@@ -9,7 +9,7 @@
 import {decideRightsSource} from './decide-rights-source.js';
 import {isBudgetExhausted} from './is-budget-exhausted.js';
 import type {RightsBalance} from './rights-balance.js';
-import type {RightsObtainer} from './rights-obtainer.js';
+import type {RightsAcquirer} from './rights-acquirer.js';
 import type {RightsSource} from './rights-source.js';
 
 /**
@@ -36,7 +36,7 @@
 };
 
 /** Creates the task that goes through the sources of rights, in the order of `decideRightsSource`. */
-export const createRightsObtainer = ({holder, accounts, allocators, borrower, writer, queue, balance, peerOf, timeouts, isRetiring, now}: Options): RightsObtainer => {
+export const createRightsAcquirer = ({holder, accounts, allocators, borrower, writer, queue, balance, peerOf, timeouts, isRetiring, now}: Options): RightsAcquirer => {
 	const askHoldersAgainAt = new Map<string, number>();
 
 	const holdersOf = (budget: string): readonly ListedPeer[] => {
@@ -61,16 +61,16 @@
 	const draw = async (budget: string, tokens: number, deadline: number): Promise<boolean> =>
 		await queue.draw(budget, tokens, deadline) === 'reserved';
 
-	const isExhausted: RightsObtainer['isExhausted'] = (budget, tokens) => isBudgetExhausted({
+	const isExhausted: RightsAcquirer['isExhausted'] = (budget, tokens) => isBudgetExhausted({
 		rights: writer.rightsOf(budget), ageMs: writer.ageOf(budget), holder, tokens,
 	});
 
 	return {
 		isExhausted,
-		async obtain({budget, tokens, deadline, priority}) {
+		async acquire({budget, tokens, deadline, priority}) {
 			let last: RightsSource | undefined;
 			let hasReachedStore = false;
-			while (!accounts.take(budget, tokens)) {
+			while (!accounts.tryReserve(budget, tokens)) {
 				last = decideRightsSource({
 					last, isRetiring: isRetiring(), isAllocator: allocators.isAllocator(budget), hasReachedStore, mayDraw: balance.mayDraw(budget),
 				});
@@ -91,14 +91,14 @@
 
 			return 'reserved';
 		},
-		async obtainForClient(budget, tokens) {
+		async acquireForClient(budget, tokens) {
 			if (accounts.available(budget) >= tokens) {
 				return;
 			}
 
 			// What a waiting draw reserves is free again at once, for the loan.
 			if (balance.mayDraw(budget) && await draw(budget, tokens, now() + timeouts.storeMs)) {
-				accounts.step(budget, {type: 'settled', reserved: tokens, used: 0});
+				accounts.apply(budget, {type: 'settled', reserved: tokens, used: 0});
 				return;
 			}
 
--- a/packages/entry/src/lib/rights/create-rights-keeper.ts
+++ b/packages/entry/src/lib/rights/create-rights-manager.ts
@@ -1,4 +1,4 @@
-import {holdAheadByRate, slotOfBudget} from '@deckwheel/ledger';
+import {holdingPolicyByRate, slotOfBudget} from '@deckwheel/ledger';
 import type {Log} from '../../adapter/log.js';
 import type {RightsStore} from '../../adapter/rights-store.js';
 import type {Timeouts} from '../../timeouts.js';
@@ -12,16 +12,16 @@
 import {createSlotWriter} from '../rights-store/create-slot-writer.js';
 import {createStoreState} from '../rights-store/create-store-state.js';
 import {slotCount} from '../rights-store/slot-count.js';
-import {createLastPart} from '../last-part/create-last-part.js';
+import {createBudgetPacer} from '../budget-pacing/create-budget-pacer.js';
 import {createRestoreRecovery} from '../rights-store/create-restore-recovery.js';
 import type {BudgetLimits} from './budget-limits.js';
 import {createAccounts} from './create-accounts.js';
-import {createRightsObtainer} from './create-rights-obtainer.js';
-import {holdAheadSettings} from './hold-ahead-settings.js';
+import {createRightsAcquirer} from './create-rights-acquirer.js';
+import {holdingPolicySettings} from './holding-policy-settings.js';
 import {planDrawAmount} from './plan-draw-amount.js';
 import {planHorizon} from './plan-horizon.js';
 import {planRetryAfter} from './plan-retry-after.js';
-import type {RightsKeeper} from './rights-keeper.js';
+import type {RightsManager} from './rights-manager.js';
 import {startRightsBalance} from './start-rights-balance.js';
 
 type Options = {
@@ -38,22 +38,22 @@
 };
 
 /**
-Starts the task that owns this host's rights: puts together who gets them for requests (`createRightsObtainer`), lends them
+Starts the task that owns this host's rights: puts together who gets them for requests (`createRightsAcquirer`), lends them
 (`createLender`), writes them to the store (`createSlotWriter`) and moves them ahead of demand (`startRightsBalance`).
 */
-export const createRightsKeeper = ({host, holder, store, loanClient, links, timeouts, log, now}: Options): RightsKeeper => {
+export const createRightsManager = ({host, holder, store, loanClient, links, timeouts, log, now}: Options): RightsManager => {
 	const accounts = createAccounts();
 	const state = createStoreState(log, now);
 	let limits: BudgetLimits = {version: 0, byBudget: new Map()};
 	let isRetiring = false;
-	const lastPart = createLastPart({
+	const budgetPacer = createBudgetPacer({
 		holder, accounts, rightsOf: budget => writer.rightsOf(budget), startedAt: now(), now,
 	});
 	const shortageLog = createShortageLog({
 		rightsOf: budget => writer.rightsOf(budget), ageOf: budget => writer.ageOf(budget), log, now,
 	});
 	let largestRequest = 0;
-	const holdAhead = holdAheadByRate(holdAheadSettings, () => largestRequest, () => planHorizon(state.upSince(), now(), holdAheadSettings.horizonSeconds));
+	const holdingPolicy = holdingPolicyByRate(holdingPolicySettings, () => largestRequest, () => planHorizon(state.upSince(), now(), holdingPolicySettings.horizonSeconds));
 
 	const allocators = createAllocators({holder, links, slotOf: budget => slotOfBudget(budget, slotCount)});
 	const borrower = createBorrower({
@@ -66,9 +66,9 @@
 		state,
 		accounts,
 		limits: () => limits,
-		isConcerned: budget => accounts.of(budget).granted !== 0 || queue.missing(budget) > 0 || allocators.drawsAhead(budget),
+		isConcerned: budget => accounts.get(budget).granted !== 0 || queue.missing(budget) > 0 || allocators.drawsAhead(budget),
 		wants: budget => (view, rights) => planDrawAmount({
-			account: accounts.of(budget), available: accounts.available(budget), missing: queue.missing(budget), view, rights, holder, holdAhead, isPaused: isRetiring || recovery.isDrawPaused(),
+			account: accounts.get(budget), available: accounts.available(budget), missing: queue.missing(budget), view, rights, holder, holdingPolicy, isPaused: isRetiring || recovery.isDrawPaused(),
 		}),
 		onRestored() {
 			recovery.noteRestored();
@@ -82,31 +82,31 @@
 	});
 	const queue = createDrawQueue({accounts, writer: () => writer, now});
 	const balance = startRightsBalance({
-		holder, accounts, allocators, borrower, writer, state, holdAhead, log, now,
+		holder, accounts, allocators, borrower, writer, state, holdingPolicy, log, now,
 		budgets: () => limits.byBudget.keys(),
 		isSettled: () => links().isSettled(),
 		isRetiring: () => isRetiring,
 		isDrawPaused: recovery.isDrawPaused,
 	});
-	const obtainer = createRightsObtainer({
+	const acquirer = createRightsAcquirer({
 		holder, accounts, allocators, borrower, writer, queue, balance, timeouts, now,
 		peerOf: name => links().peerOf(name),
 		isRetiring: () => isRetiring,
 	});
 	const lend = createLender({
-		accounts, allocators, obtainer, lastPart, isStoreUp: state.isUp, isRetiring: () => isRetiring, log,
+		accounts, allocators, acquirer, budgetPacer, isStoreUp: state.isUp, isRetiring: () => isRetiring, log,
 	});
 
 	const credit = (event: string, budget: string, from: string, total: number): void => {
 		const before = accounts.available(budget);
-		accounts.step(budget, {type: 'received', from, total});
+		accounts.apply(budget, {type: 'received', from, total});
 		log(event, {from, budget, tokens: accounts.available(budget) - before});
 	};
 
 	const giveAllBack = async (slot: number): Promise<void> => {
-		await writer.idle(slot);
+		await writer.untilIdle(slot);
 		for (const budget of accounts.budgets().filter(name => writer.slotOf(name) === slot)) {
-			accounts.step(budget, {type: 'granted', total: accounts.of(budget).granted - accounts.available(budget)});
+			accounts.apply(budget, {type: 'granted', total: accounts.get(budget).granted - accounts.available(budget)});
 		}
 
 		await writer.flush(slot);
@@ -119,22 +119,22 @@
 		},
 		async reserve(budget, tokens, deadline, priority) {
 			largestRequest = Math.max(largestRequest, tokens);
-			const keptFor = priority === undefined ? undefined : lastPart.keptFor(budget, tokens, priority);
+			const keptFor = priority === undefined ? undefined : budgetPacer.keptFor(budget, tokens, priority);
 			if (keptFor) {
-				const isExhausted = obtainer.isExhausted(budget, tokens);
+				const isExhausted = acquirer.isExhausted(budget, tokens);
 				const refused = isExhausted ? 'exhausted' : 'kept';
 				shortageLog.note(budget, isExhausted ? refused : `kept_for_${keptFor}`);
 				return refused;
 			}
 
-			const outcome = await obtainer.obtain({
+			const outcome = await acquirer.acquire({
 				budget, tokens, deadline, priority,
 			});
 			// Refused requests come back; counted each time, they would make the demand look many times larger.
 			if (outcome === 'reserved') {
-				accounts.step(budget, {type: 'demanded', by: 'own_request', tokens});
+				accounts.apply(budget, {type: 'demanded', by: 'own_request', tokens});
 				if (priority !== undefined) {
-					lastPart.note(budget, priority, tokens);
+					budgetPacer.note(budget, priority, tokens);
 				}
 			} else {
 				shortageLog.note(budget, outcome);
@@ -143,10 +143,10 @@
 			return outcome;
 		},
 		settle(budget, reserved, used) {
-			accounts.step(budget, {type: 'settled', reserved, used});
+			accounts.apply(budget, {type: 'settled', reserved, used});
 		},
 		lend,
-		receivedFrom: (budget, from) => accounts.of(budget).received.get(from) ?? 0,
+		receivedFrom: (budget, from) => accounts.get(budget).received.get(from) ?? 0,
 		receive(budget, from, total) {
 			credit('rights_borrowed', budget, from, total);
 		},
--- a/packages/entry/src/lib/rights/hold-ahead-settings.ts
+++ b/packages/entry/src/lib/rights/holding-policy-settings.ts
@@ -1,8 +1,8 @@
 /**
-How far ahead a host holds rights (`holdAheadByRate` in ledger). More serves longer in a cut; less is stranded by a death
+How far ahead a host holds rights (`holdingPolicyByRate` in ledger). More serves longer in a cut; less is stranded by a death
 of all hosts, and a final one ends most days.
 */
-export const holdAheadSettings = {
+export const holdingPolicySettings = {
 	/**
 	Of what remains of a budget, for all hosts together. A smaller part is used up sooner while the store is away; a larger one is
 	stranded when all hosts die.
--- a/packages/entry/src/lib/rights/plan-draw-amount.ts
+++ b/packages/entry/src/lib/rights/plan-draw-amount.ts
@@ -1,5 +1,5 @@
 import {
-	drawAmount, type BudgetRights, type HoldAhead, type StoreView,
+	drawAmount, type BudgetRights, type HoldingPolicy, type StoreView,
 } from '@deckwheel/ledger';
 import {holdersOf} from '../rights-store/holders-of.js';
 import {remainingTokens} from '../rights-store/remaining-tokens.js';
@@ -16,18 +16,18 @@
 	readonly view: StoreView;
 	readonly rights: BudgetRights;
 	readonly holder: string;
-	readonly holdAhead: HoldAhead;
+	readonly holdingPolicy: HoldingPolicy;
 	/** Whether nothing is to be drawn now. */
 	readonly isPaused: boolean;
 };
 
 /** Decides how many tokens of a budget a write to the store draws. Pure. May be negative; the ledger keeps it within 0 and the rest. */
-export const planDrawAmount = ({account, available, missing, view, rights, holder, holdAhead, isPaused}: Inputs): number => {
+export const planDrawAmount = ({account, available, missing, view, rights, holder, holdingPolicy, isPaused}: Inputs): number => {
 	if (isPaused) {
 		return 0;
 	}
 
-	const target = holdAhead({
+	const target = holdingPolicy({
 		...view,
 		remaining: remainingTokens(rights, holder, account),
 		tokensPerSecond: demandRate(account),
--- a/packages/entry/src/lib/rights/plan-rights.ts
+++ b/packages/entry/src/lib/rights/plan-rights.ts
@@ -1,4 +1,4 @@
-import {type HoldAhead, type StoreView, available} from '@deckwheel/ledger';
+import {type HoldingPolicy, type StoreView, available} from '@deckwheel/ledger';
 import {demandRate} from './demand-rate.js';
 import type {HostAccount} from './host-account.js';
 
@@ -22,7 +22,7 @@
 	readonly store: StoreView;
 	/** Hosts that hold rights on this budget. */
 	readonly holders: number;
-	readonly holdAhead: HoldAhead;
+	readonly holdingPolicy: HoldingPolicy;
 	/** Whether the limit fell below what was granted: then nobody may keep unspent rights. */
 	readonly isOverGranted: boolean;
 	/** Rights that leave this host while the store is out of reach would be of use to nobody. */
@@ -34,13 +34,13 @@
 
 `deckwheeld` decides give-backs by `surplus` in ledger, which says why the two differ.
 */
-export const planRights = ({account, store, holders, holdAhead, isOverGranted, isStoreUp}: Inputs): RightsPlan => {
+export const planRights = ({account, store, holders, holdingPolicy, isOverGranted, isStoreUp}: Inputs): RightsPlan => {
 	const free = available(account);
 	if (isOverGranted) {
 		return free > 0 ? {type: 'give_back', tokens: free} : {type: 'keep'};
 	}
 
-	const target = holdAhead({...store, tokensPerSecond: demandRate(account), holders});
+	const target = holdingPolicy({...store, tokensPerSecond: demandRate(account), holders});
 	if (free < target * refillBelow && store.unallocated > 0) {
 		return {type: 'draw'};
 	}
--- a/packages/entry/src/lib/rights/rights-obtainer.ts
+++ b/packages/entry/src/lib/rights/rights-acquirer.ts
@@ -11,11 +11,11 @@
 };
 
 /** Gets rights that this host lacks, from wherever they may come. */
-export type RightsObtainer = {
+export type RightsAcquirer = {
 	/** For a request of this host: reserves them, or tells why not. */
-	readonly obtain: (need: RightsNeed) => Promise<ReserveOutcome>;
+	readonly acquire: (need: RightsNeed) => Promise<ReserveOutcome>;
 	/** For a host that borrows from this one: makes them available. */
-	readonly obtainForClient: (budget: string, tokens: number) => Promise<void>;
+	readonly acquireForClient: (budget: string, tokens: number) => Promise<void>;
 	/** Whether a budget is known to be used up for a request of this many tokens. */
 	readonly isExhausted: (budget: string, tokens: number) => boolean;
 };
--- a/packages/entry/src/lib/rights/rights-keeper.ts
+++ b/packages/entry/src/lib/rights/rights-manager.ts
@@ -4,7 +4,7 @@
 import type {ReserveOutcome} from './reserve-outcome.js';
 
 /** This host's rights on budgets. */
-export type RightsKeeper = {
+export type RightsManager = {
 	readonly configure: (config: FleetConfig) => void;
 	/**
 	Sets tokens aside for a request's worst case; where rights are short, looks for some until `deadline` (monotonic ms).
--- a/packages/entry/src/lib/rights/start-rights-balance.ts
+++ b/packages/entry/src/lib/rights/start-rights-balance.ts
@@ -1,4 +1,4 @@
-import {unallocated, type HoldAhead} from '@deckwheel/ledger';
+import {unallocated, type HoldingPolicy} from '@deckwheel/ledger';
 import type {Log} from '../../adapter/log.js';
 import type {Allocators} from '../lending/allocators.js';
 import type {Borrower} from '../lending/borrower.js';
@@ -28,7 +28,7 @@
 	readonly borrower: Borrower;
 	readonly writer: SlotWriter;
 	readonly state: StoreState;
-	readonly holdAhead: HoldAhead;
+	readonly holdingPolicy: HoldingPolicy;
 	/** Budgets with a limit. */
 	readonly budgets: () => Iterable<string>;
 	/** Whether peers that started together had time to be listed. */
@@ -45,13 +45,13 @@
 Starts the task that keeps this host's rights near what its demand asks for: looks at each budget at a steady pace, and does
 what `planRights` and `planBorrowing` decide. It owns when each slot was written and looked at last.
 */
-export const startRightsBalance = ({holder, accounts, allocators, borrower, writer, state, holdAhead, budgets, isSettled, isRetiring, isDrawPaused, log, now}: Options): RightsBalance => {
+export const startRightsBalance = ({holder, accounts, allocators, borrower, writer, state, holdingPolicy, budgets, isSettled, isRetiring, isDrawPaused, log, now}: Options): RightsBalance => {
 	const writtenAt = new Map<number, number>();
 	const lookedAt = new Map<number, number>();
 
 	const planBudget = (budget: string): 'keep' | 'write' => {
 		const rights = writer.rightsOf(budget);
-		const account = accounts.of(budget);
+		const account = accounts.get(budget);
 		// Nothing was read yet. A write reads first; a host that holds rights and has no demand can wait for its next one.
 		if (!rights) {
 			return account.rate > 0 || account.granted === 0 ? 'write' : 'keep';
@@ -60,7 +60,7 @@
 		const view = viewRights(rights, holder, demandRate(account));
 		const plan = planRights({
 			account,
-			holdAhead,
+			holdingPolicy,
 			holders: holdersOf(rights, holder),
 			isOverGranted: unallocated(rights) < 0,
 			isStoreUp: state.isUp(),
@@ -68,7 +68,7 @@
 		});
 		if (plan.type === 'give_back') {
 			// Rights leave this host before the store hears of it.
-			accounts.step(budget, {type: 'granted', total: account.granted - plan.tokens});
+			accounts.apply(budget, {type: 'granted', total: account.granted - plan.tokens});
 			log('rights_given_back', {budget, tokens: plan.tokens});
 		}
 
@@ -82,7 +82,7 @@
 	};
 
 	// Who stands by, or drew once because no allocator answered, keeps an eye on what it still has of the store.
-	const isConcerned = (budget: string): boolean => allocators.drawsAhead(budget) || accounts.of(budget).granted > accounts.of(budget).settled;
+	const isConcerned = (budget: string): boolean => allocators.drawsAhead(budget) || accounts.get(budget).granted > accounts.get(budget).settled;
 
 	const writeDue = (): void => {
 		const due = [...budgets()].filter(budget => isConcerned(budget) && isDue(budget) && planBudget(budget) === 'write');
@@ -101,14 +101,14 @@
 		for (const slot of slots) {
 			if (!writer.isBusy(slot) && now() - (lookedAt.get(slot) ?? -viewTrustMs) >= viewTrustMs) {
 				lookedAt.set(slot, now());
-				void writer.look(slot);
+				void writer.refresh(slot);
 			}
 		}
 	};
 
 	const tick = (): void => {
 		for (const budget of accounts.budgets()) {
-			accounts.step(budget, {type: 'aged', seconds: tickMs / 1000});
+			accounts.apply(budget, {type: 'aged', seconds: tickMs / 1000});
 		}
 
 		if (isRetiring() || !isSettled()) {
--- a/packages/entry/src/lib/sending/endpoint-notice.ts
+++ b/packages/entry/src/lib/sending/endpoint-notice.ts
@@ -3,7 +3,7 @@
 	/** It ends before long, and wants no new request. */
 	readonly isLeaving: boolean;
 	/** Until when it wants no request from this host, in monotonic ms; `undefined` where it does not ask for rest. */
-	readonly restUntil: number | undefined;
+	readonly backoffUntil: number | undefined;
 	/** Requests a second that it takes from all hosts together; `undefined` where it names no limit. */
 	readonly requestLimit: number | undefined;
 };
--- a/packages/entry/src/lib/sending/read-notice.ts
+++ b/packages/entry/src/lib/sending/read-notice.ts
@@ -25,6 +25,6 @@
 	const restMs = statusCode === httpStatus.serviceUnavailable ? restMsOf(headers['retry-after']) : 0;
 	const requestLimit = readRequestLimit(headers, headerNames)?.perSecond;
 	return isLeaving || restMs > 0 || requestLimit !== undefined
-		? {isLeaving, restUntil: restMs > 0 ? now + restMs : undefined, requestLimit}
+		? {isLeaving, backoffUntil: restMs > 0 ? now + restMs : undefined, requestLimit}
 		: undefined;
 };
--- a/packages/entry/src/start-entry-host.ts
+++ b/packages/entry/src/start-entry-host.ts
@@ -62,7 +62,7 @@
 	let config: FleetConfig | undefined;
 	const chooser = createEndpointChooser({
 		hall,
-		isLost: halls.isUnreachable,
+		isUnreachable: halls.isUnreachable,
 		warmupRules: createWarmupRules({
 			bound: bounds.warmup, serviceOf: name => config?.services.get(name), hosts: peerTasks.hostNames,
 		}),
--- a/packages/entry/src/test/back-to-service.test.ts
+++ b/packages/entry/src/test/back-to-service.test.ts
@@ -8,7 +8,7 @@
 */
 import test from 'ava';
 import fc from 'fast-check';
-import {holdAheadSettings} from '../lib/rights/hold-ahead-settings.js';
+import {holdingPolicySettings} from '../lib/rights/holding-policy-settings.js';
 import {playDeathOfAll, type DeathCourse} from './lib/play-death-of-all.js';
 
 const hosts = 7;
@@ -21,7 +21,7 @@
 		...course, hosts, requestTokens: [9000], requestGapMs: 300, firstTokens: 41_000, end: course.death.until,
 	});
 	const stranded = remainingAtDeath - drawableAfterDeath;
-	const most = (remainingAtDeath * holdAheadSettings.shareOfRest) + (hosts * trifle);
+	const most = (remainingAtDeath * holdingPolicySettings.shareOfRest) + (hosts * trifle);
 	return {isKept: stranded <= most, told: `${stranded} of ${remainingAtDeath} tokens were held by the dead, of ${most} that may be`};
 };
 
--- a/packages/entry/src/test/create-borrower.test.ts
+++ b/packages/entry/src/test/create-borrower.test.ts
@@ -21,7 +21,7 @@
 					answers.push(resolve);
 				});
 				lent += question.tokens * brought;
-				accounts.step(budget, {type: 'received', from: allocator.holder, total: lent});
+				accounts.apply(budget, {type: 'received', from: allocator.holder, total: lent});
 				return true;
 			},
 			handBack: async () => 'taken',
@@ -34,7 +34,7 @@
 		await borrower.borrow({
 			budget, tokens, source: 'allocators', peers: [allocator],
 		});
-		return accounts.take(budget, tokens);
+		return accounts.tryReserve(budget, tokens);
 	};
 
 	return {questions, answers, reserve};
--- a/packages/entry/src/test/create-last-part.test.ts
+++ b/packages/entry/src/test/create-budget-pacer.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import type {BudgetRights, HolderRights} from '@deckwheel/ledger';
-import {createLastPart} from '../lib/last-part/create-last-part.js';
+import {createBudgetPacer} from '../lib/budget-pacing/create-budget-pacer.js';
 import {createAccounts} from '../lib/rights/create-accounts.js';
 
 const holder = 'edge-1#2';
@@ -29,7 +29,7 @@
 	const rights: BudgetRights = {
 		organisation: 'org', limit, topUps: [], holders,
 	};
-	const lastPart = createLastPart({
+	const budgetPacer = createBudgetPacer({
 		holder, accounts: createAccounts(), rightsOf: () => rights, startedAt: 0, now: () => time,
 	});
 	return {
@@ -37,9 +37,9 @@
 			time = ms;
 		},
 		ask(tokens: number) {
-			const kept = lastPart.keptFor('org', tokens, 0);
+			const kept = budgetPacer.keptFor('org', tokens, 0);
 			if (kept === undefined) {
-				lastPart.note('org', 0, tokens);
+				budgetPacer.note('org', 0, tokens);
 			}
 
 			return kept;
--- a/packages/entry/src/test/create-endpoint-chooser.test.ts
+++ b/packages/entry/src/test/create-endpoint-chooser.test.ts
@@ -14,7 +14,7 @@
 
 test('endpoints of a hall that is out of reach are not chosen; those of one that seems so are a last resort', t => {
 	let lost = '';
-	const chooser = createEndpointChooser({hall: 'a', isLost: hall => hall === lost, now: () => 0});
+	const chooser = createEndpointChooser({hall: 'a', isUnreachable: hall => hall === lost, now: () => 0});
 	chooser.list([endpoint('near', 'a'), endpoint('far', 'b')]);
 	for (let i = 0; i < 5; i++) {
 		chooser.noteStarted('near', []);
@@ -33,7 +33,7 @@
 const names = ['e1', 'e2', 'e3', 'e4'];
 
 test('a new life of an endpoint is believed to hold no prompt that the old one read', t => {
-	const chooser = createEndpointChooser({hall: 'a', isLost: () => false, now: () => 0});
+	const chooser = createEndpointChooser({hall: 'a', isUnreachable: () => false, now: () => 0});
 	chooser.list(names.map(name => lifeOf(name, 1)));
 	const preferred = chooser.choose(ask(prompt, [], []))!.endpoint;
 	chooser.noteStarted(preferred.id, prompt);
@@ -45,7 +45,7 @@
 });
 
 test('a new life of an endpoint stays the preferred one of its prompts', t => {
-	const chooser = createEndpointChooser({hall: 'a', isLost: () => false, now: () => 0});
+	const chooser = createEndpointChooser({hall: 'a', isUnreachable: () => false, now: () => 0});
 	chooser.list(names.map(name => lifeOf(name, 1)));
 	const preferred = chooser.choose(ask(prompt, [], []))!.endpoint;
 	chooser.list(names.map(name => lifeOf(name, name === preferred.instance ? 2 : 1)));
--- a/packages/entry/src/test/create-slot-writer.test.ts
+++ b/packages/entry/src/test/create-slot-writer.test.ts
@@ -47,7 +47,7 @@
 	t.true(await other.flush());
 	t.true(await one.flush());
 	t.is(one.writes.length, 2);
-	t.is(one.accounts.of('org').granted, 20);
+	t.is(one.accounts.get('org').granted, 20);
 });
 
 test('a look that shows something older changes nothing', async t => {
@@ -55,7 +55,7 @@
 	t.true(await one.flush());
 	const [old] = [...one.store.objects.values()];
 	t.true(await one.flush());
-	const late = start('edge-1', {...one.store, glance: async () => old});
+	const late = start('edge-1', {...one.store, peek: async () => old});
 	t.true(await late.flush());
 	t.true(await late.flush());
 	t.deepEqual(late.writes, [2, 3]);
--- a/packages/entry/src/test/hand-back.test.ts
+++ b/packages/entry/src/test/hand-back.test.ts
@@ -53,7 +53,7 @@
 
 test('what an ended life can no longer take stays with the host that handed it back', async t => {
 	const accounts = createAccounts();
-	accounts.step(budget, {type: 'granted', total: 10_000});
+	accounts.apply(budget, {type: 'granted', total: 10_000});
 	const borrower = createBorrower({
 		accounts,
 		loanClient: {
@@ -65,5 +65,5 @@
 		now: () => 0,
 	});
 	await borrower.handBackIdle(budget);
-	t.is(available(accounts.of(budget)), 10_000);
+	t.is(available(accounts.get(budget)), 10_000);
 });
--- a/packages/entry/src/test/is-kept-for-urgent.test.ts
+++ b/packages/entry/src/test/is-kept-for-urgent.test.ts
@@ -7,8 +7,8 @@
 served.
 */
 import test from 'ava';
-import {isKeptForUrgent} from '../lib/last-part/is-kept-for-urgent.js';
-import {createUrgencyRecord} from '../lib/last-part/create-urgency-record.js';
+import {isKeptForUrgent} from '../lib/budget-pacing/is-kept-for-urgent.js';
+import {createUrgencyRecord} from '../lib/budget-pacing/create-urgency-record.js';
 
 const fleetRate = 1000;
 const inputs = {
--- a/packages/entry/src/test/lib/memory-rights-store.ts
+++ b/packages/entry/src/test/lib/memory-rights-store.ts
@@ -38,7 +38,7 @@
 		async read(slot) {
 			return faults.isDown ? fail({type: 'unavailable'}) : succeed(objects.get(slot) ?? {...none, era});
 		},
-		async glance(slot) {
+		async peek(slot) {
 			return faults.isDown ? undefined : objects.get(slot);
 		},
 		async write(slot, rights, revision) {
--- a/packages/entry/src/test/lib/play-death-of-all.ts
+++ b/packages/entry/src/test/lib/play-death-of-all.ts
@@ -6,8 +6,8 @@
 import {createLoanClient} from '../../lib/lending/create-loan-client.js';
 import type {LoanRequest} from '../../lib/lending/loan-request.js';
 import {hostOfHolder} from '../../lib/rights-store/host-of-holder.js';
-import {createRightsKeeper} from '../../lib/rights/create-rights-keeper.js';
-import type {RightsKeeper} from '../../lib/rights/rights-keeper.js';
+import {createRightsManager} from '../../lib/rights/create-rights-manager.js';
+import type {RightsManager} from '../../lib/rights/rights-manager.js';
 import type {ReserveOutcome} from '../../lib/rights/reserve-outcome.js';
 import {createMemoryRightsStore} from './memory-rights-store.js';
 import {makeConfig} from './start-host.js';
@@ -67,10 +67,10 @@
 	let spent = 0;
 	const isWithin = ({from, until}: Span): boolean => now() >= from && now() < until;
 
-	const startLife = (life: number): ReadonlyMap<string, RightsKeeper> => {
+	const startLife = (life: number): ReadonlyMap<string, RightsManager> => {
 		const peers: readonly ListedPeer[] = Array.from({length: course.hosts}, (_, index) => (
 			{holder: `edge-${index}#${life}`, address: `10.0.0.${index}:1`, hall: `h${index}`}));
-		const keepers = new Map<string, RightsKeeper>();
+		const keepers = new Map<string, RightsManager>();
 		for (const peer of peers) {
 			const loanClient = createLoanClient({
 				mesh: () => ({
@@ -99,7 +99,7 @@
 				log: () => undefined,
 				now,
 			});
-			const rights = createRightsKeeper({
+			const rights = createRightsManager({
 				host: hostOfHolder(peer.holder),
 				holder: peer.holder,
 				store,
@@ -127,9 +127,9 @@
 	let life = 0;
 	let remainingAtDeath = 0;
 	let drawableAfterDeath = 0;
-	let ends: ReadonlyArray<{readonly at: number; readonly keeper: RightsKeeper; readonly tokens: number}> = [];
+	let ends: ReadonlyArray<{readonly at: number; readonly keeper: RightsManager; readonly tokens: number}> = [];
 
-	const request = async (keeper: RightsKeeper, at: number, tokens: number, priority?: number): Promise<void> => {
+	const request = async (keeper: RightsManager, at: number, tokens: number, priority?: number): Promise<void> => {
 		const outcome = await keeper.reserve('org', tokens, at + defaultTimeouts.storeMs, priority);
 		requests.push({at, outcome});
 		if (outcome === 'reserved') {
--- a/packages/entry/src/test/lib/start-keepers.ts
+++ b/packages/entry/src/test/lib/start-keepers.ts
@@ -3,15 +3,15 @@
 import type {ListedPeer} from '../../adapter/listed-peer.js';
 import type {RightsStore} from '../../adapter/rights-store.js';
 import {createLoanClient} from '../../lib/lending/create-loan-client.js';
-import {createRightsKeeper} from '../../lib/rights/create-rights-keeper.js';
+import {createRightsManager} from '../../lib/rights/create-rights-manager.js';
 import {hostOfHolder} from '../../lib/rights-store/host-of-holder.js';
 import type {LoanRequest} from '../../lib/lending/loan-request.js';
-import type {RightsKeeper} from '../../lib/rights/rights-keeper.js';
+import type {RightsManager} from '../../lib/rights/rights-manager.js';
 import {makeConfig} from './start-host.js';
 
 type KeeperOfHost = {
 	readonly peer: ListedPeer;
-	readonly rights: RightsKeeper;
+	readonly rights: RightsManager;
 	/** Events logged. */
 	readonly events: string[];
 	/** Ends the host without a word. */
@@ -26,7 +26,7 @@
 */
 export const startKeepers = (count: number, store: RightsStore, limit: number, now = () => 0): readonly KeeperOfHost[] => {
 	const peers: readonly ListedPeer[] = Array.from({length: count}, (_, index) => ({holder: `edge-${index}#a`, address: `10.0.0.${index}:1`, hall: 'h'}));
-	const keepers = new Map<string, RightsKeeper>();
+	const keepers = new Map<string, RightsManager>();
 	const suspected = new Set<string>();
 	let inReach = peers;
 
@@ -56,7 +56,7 @@
 			log: () => undefined,
 			now,
 		});
-		const rights = createRightsKeeper({
+		const rights = createRightsManager({
 			host: hostOfHolder(peer.holder),
 			holder: peer.holder,
 			store,
--- a/packages/entry/src/test/plan-draw-amount.test.ts
+++ b/packages/entry/src/test/plan-draw-amount.test.ts
@@ -23,7 +23,7 @@
 		},
 		holder,
 		// Half of what remains.
-		holdAhead: ({remaining}) => remaining / 2,
+		holdingPolicy: ({remaining}) => remaining / 2,
 		isPaused: false,
 	});
 	t.is(wanted(600), 200);
--- a/packages/entry/src/test/plan-rights.test.ts
+++ b/packages/entry/src/test/plan-rights.test.ts
@@ -1,14 +1,14 @@
 import test from 'ava';
-import type {HoldAhead} from '@deckwheel/ledger';
+import type {HoldingPolicy} from '@deckwheel/ledger';
 import {emptyHostAccount} from '../lib/rights/empty-host-account.js';
 import {planRights} from '../lib/rights/plan-rights.js';
 
-const holdAhead: HoldAhead = () => 10_000;
+const holdingPolicy: HoldingPolicy = () => 10_000;
 const store = {
 	unallocated: 1_000_000, remaining: 1_000_000, demandShare: 0.5, fleetTokensPerSecond: 1e6,
 };
 const base = {
-	store, holders: 2, holdAhead, isOverGranted: false, isStoreUp: true,
+	store, holders: 2, holdingPolicy, isOverGranted: false, isStoreUp: true,
 };
 const holding = (tokens: number) => ({...emptyHostAccount, granted: tokens});
 
--- a/packages/entry/src/test/request-limits-model.test.ts
+++ b/packages/entry/src/test/request-limits-model.test.ts
@@ -153,7 +153,7 @@
 			return;
 		}
 
-		const permit = host.limits.isLimited(endpoint.id) ? await host.limits.obtain(endpoint) : {isGranted: true as const};
+		const permit = host.limits.isLimited(endpoint.id) ? await host.limits.acquire(endpoint) : {isGranted: true as const};
 		if (!permit.isGranted) {
 			host.close(permit.retryAt);
 			return;
--- a/packages/entry/src/test/rights-after-deaths.test.ts
+++ b/packages/entry/src/test/rights-after-deaths.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
 import {
-	holdAheadByRate, unallocated, type DrawPlan, type RightsObject,
+	holdingPolicyByRate, unallocated, type DrawPlan, type RightsObject,
 } from '@deckwheel/ledger';
 import {emptyHostAccount} from '../lib/rights/empty-host-account.js';
-import {holdAheadSettings} from '../lib/rights/hold-ahead-settings.js';
+import {holdingPolicySettings} from '../lib/rights/holding-policy-settings.js';
 import type {HostAccount} from '../lib/rights/host-account.js';
 import {planDrawAmount} from '../lib/rights/plan-draw-amount.js';
 import {planSlotWrite} from '../lib/rights-store/plan-slot-write.js';
@@ -13,7 +13,7 @@
 const limit = 1_000_000;
 const host = 'edge-1';
 const limits = new Map([[budget, limit]]);
-const holdAhead = holdAheadByRate(holdAheadSettings);
+const holdingPolicy = holdingPolicyByRate(holdingPolicySettings);
 
 const write = (rights: RightsObject, holder: string, account: HostAccount, isRetiring: boolean): Extract<DrawPlan, {type: 'write'}> => {
 	const plan = planSlotWrite({
@@ -25,7 +25,7 @@
 		accountOf: () => account,
 		isConcerned: () => true,
 		wants: () => (view, own) => planDrawAmount({
-			account, available: account.granted - account.settled, missing: 0, view, rights: own, holder, holdAhead, isPaused: isRetiring,
+			account, available: account.granted - account.settled, missing: 0, view, rights: own, holder, holdingPolicy, isPaused: isRetiring,
 		}),
 	});
 	if (plan.type !== 'write') {
--- a/packages/entry/src/test/step-pace.test.ts
+++ b/packages/entry/src/test/step-pace.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
 import fc from 'fast-check';
-import {isAheadOfPace} from '../lib/last-part/is-ahead-of-pace.js';
-import type {Pace} from '../lib/last-part/pace.js';
-import {planLasting} from '../lib/last-part/plan-lasting.js';
-import {stepPace} from '../lib/last-part/step-pace.js';
+import {isAheadOfPace} from '../lib/budget-pacing/is-ahead-of-pace.js';
+import type {Pace} from '../lib/budget-pacing/pace.js';
+import {planLasting} from '../lib/budget-pacing/plan-lasting.js';
+import {stepPace} from '../lib/budget-pacing/step-pace.js';
 
 test('what is left has to last for less and less of the time after a restart, and then no more', t => {
 	t.deepEqual([0, 5000, 20_000, 60_000].map(age => planLasting(1000, 1000 + age)), [20, 15, 0, 0]);
--- a/packages/ledger/src/account/surplus.ts
+++ b/packages/ledger/src/account/surplus.ts
@@ -1,4 +1,4 @@
-import type {HoldAhead} from '../hold-ahead/hold-ahead.js';
+import type {HoldingPolicy} from '../holding-policy/holding-policy.js';
 import type {StoreView} from '../store/store-view.js';
 import type {Account} from './account.js';
 import {available} from './available.js';
@@ -12,7 +12,7 @@
 type SurplusInputs = {
 	readonly account: Account;
 	readonly store: StoreView;
-	readonly holdAhead: HoldAhead;
+	readonly holdingPolicy: HoldingPolicy;
 	readonly tokensPerSecond: number;
 	readonly holders: number;
 };
@@ -23,7 +23,7 @@
 The entry host on a platform decides by `planRights` (`packages/entry`): it tolerates more, since each of its writes
 counts against the rates of the platform's store, and it gives nothing back while the store is out of reach.
 */
-export const surplus = ({account, store, holdAhead, tokensPerSecond, holders}: SurplusInputs): number => {
-	const target = holdAhead({tokensPerSecond, holders, ...store});
+export const surplus = ({account, store, holdingPolicy, tokensPerSecond, holders}: SurplusInputs): number => {
+	const target = holdingPolicy({tokensPerSecond, holders, ...store});
 	return Math.max(0, Math.floor(available(account) - (target * tolerance) - keepTokens));
 };
--- a/packages/ledger/src/hold-ahead/demand-view.ts
+++ b/packages/ledger/src/holding-policy/demand-view.ts
@@ -1,4 +1,4 @@
-/** What a hold-ahead policy decides from. Tokens, unless the name says otherwise. */
+/** What a holding policy decides from. Tokens, unless the name says otherwise. */
 export type DemandView = {
 	/** Tokens a second that this holder reserved lately. */
 	readonly tokensPerSecond: number;
--- a/packages/ledger/src/hold-ahead/hold-ahead-by-rate.ts
+++ b/packages/ledger/src/holding-policy/holding-policy-by-rate.ts
@@ -1,5 +1,5 @@
 import type {DemandView} from './demand-view.js';
-import type {HoldAhead} from './hold-ahead.js';
+import type {HoldingPolicy} from './holding-policy.js';
 
 /**
 The most that one holder holds, in equal shares of `shareOfRest`: others may have demand that is not recorded yet.
@@ -15,7 +15,7 @@
 };
 
 /** How far ahead a single host holds rights. */
-type HoldAheadByRateSettings = {
+type RateHoldingSettings = {
 	/** The part of what remains of a budget that all holders together hold, 0 to 1. */
 	readonly shareOfRest: number;
 	/** No more than this many seconds of the holder's own demand. */
@@ -46,12 +46,12 @@
 budget's hosts left little of it: ten deaths of a single host took 67 of 100 tokens (`rights-after-deaths`).
 
 The entry host on a platform holds by this policy: its holders are hosts, which die more often than a pair of hosts of
-`deckwheeld` (`holdAheadByShare`), and what a dead host held stays charged.
+`deckwheeld` (`holdingPolicyByShare`), and what a dead host held stays charged.
 
 @param horizon How many seconds of its own demand it holds at the moment.
 @param largestRequest The largest request that this holder has seen on any budget, in tokens; 0 while it has seen none.
 */
-export const holdAheadByRate = ({shareOfRest, horizonSeconds, longRest, idleShare}: HoldAheadByRateSettings, largestRequest = () => 0, horizon = () => horizonSeconds): HoldAhead => view => {
+export const holdingPolicyByRate = ({shareOfRest, horizonSeconds, longRest, idleShare}: RateHoldingSettings, largestRequest = () => 0, horizon = () => horizonSeconds): HoldingPolicy => view => {
 	const aheadSeconds = horizon() * (longRest ? horizonStretch(view, longRest, horizonSeconds) : 1);
 	const part = view.remaining * shareOfRest;
 	const idlePart = part * idleShare / view.holders;
--- a/packages/ledger/src/hold-ahead/hold-ahead-by-share.ts
+++ b/packages/ledger/src/holding-policy/holding-policy-by-share.ts
@@ -1,4 +1,4 @@
-import type {HoldAhead} from './hold-ahead.js';
+import type {HoldingPolicy} from './holding-policy.js';
 
 /**
 Splits what is left of a budget among its holders by their demand, as far ahead as there is anything to hold.
@@ -9,7 +9,7 @@
 
 `deckwheeld` holds by this policy.
 */
-export const holdAheadByShare = ({shareOfRest}: {readonly shareOfRest: number}): HoldAhead => view => {
+export const holdingPolicyByShare = ({shareOfRest}: {readonly shareOfRest: number}): HoldingPolicy => view => {
 	const target = view.remaining * shareOfRest * view.demandShare;
 	return Math.ceil(target);
 };
--- a/packages/ledger/src/store/draw-amount.ts
+++ b/packages/ledger/src/store/draw-amount.ts
@@ -1,5 +1,5 @@
 type Inputs = {
-	/** What a hold-ahead policy wants at hand. */
+	/** What a holding policy wants at hand. */
 	readonly target: number;
 	/** What the holder may still reserve. */
 	readonly available: number;
--- a/packages/routing/src/request-queue/dequeue-request.ts
+++ b/packages/routing/src/request-queue/dequeue-request.ts
@@ -13,10 +13,10 @@
 const longestGapMs = 1000;
 const priorities = ['quick', 'normal', 'slow'] as const;
 
-const pickPriority = (room: QueueState, ready: readonly QueuedRequest[]) => {
+const pickPriority = (queue: QueueState, ready: readonly QueuedRequest[]) => {
 	const present = priorities.filter(priority => ready.some(request => request.priority === priority));
 	const total = present.reduce((sum, priority) => sum + turns[priority], 0);
-	const credit = {...room.credit};
+	const credit = {...queue.credit};
 	for (const priority of present) {
 		credit[priority] += turns[priority];
 	}
@@ -26,18 +26,18 @@
 	return {chosen: chosen!, credit};
 };
 
-const servedBy = (room: QueueState, organisation: string): number => room.served.get(organisation) ?? 0;
+const servedBy = (queue: QueueState, organisation: string): number => queue.served.get(organisation) ?? 0;
 
-const pickRequest = (room: QueueState, ready: readonly QueuedRequest[]): QueuedRequest =>
+const pickRequest = (queue: QueueState, ready: readonly QueuedRequest[]): QueuedRequest =>
 	ready.toSorted((a, b) =>
-		servedBy(room, a.organisation) - servedBy(room, b.organisation) || a.startBy - b.startBy)[0]!;
+		servedBy(queue, a.organisation) - servedBy(queue, b.organisation) || a.startBy - b.startBy)[0]!;
 
 // An organisation that was away must not come back with a claim on all the service it missed.
-const chargeOrganisation = (room: QueueState, request: QueuedRequest): ReadonlyMap<string, number> => {
-	const present = new Set(room.waiting.map(({organisation}) => organisation));
-	const lowest = Math.min(...[...present].map(organisation => servedBy(room, organisation)));
-	const kept = [...room.served].filter(([organisation]) => present.has(organisation));
-	return new Map([...kept, [request.organisation, Math.max(lowest, servedBy(room, request.organisation)) + (1 / request.weight)]]);
+const chargeOrganisation = (queue: QueueState, request: QueuedRequest): ReadonlyMap<string, number> => {
+	const present = new Set(queue.waiting.map(({organisation}) => organisation));
+	const lowest = Math.min(...[...present].map(organisation => servedBy(queue, organisation)));
+	const kept = [...queue.served].filter(([organisation]) => present.has(organisation));
+	return new Map([...kept, [request.organisation, Math.max(lowest, servedBy(queue, request.organisation)) + (1 / request.weight)]]);
 };
 
 /**
@@ -47,24 +47,24 @@
 @param canStart Whether an endpoint can take the request now.
 @param now Monotonic ms.
 */
-export const dequeueRequest = (room: QueueState, canStart: (request: QueuedRequest) => boolean, now: number): Exit => {
-	const ready = room.waiting.filter(request => canStart(request));
+export const dequeueRequest = (queue: QueueState, canStart: (request: QueuedRequest) => boolean, now: number): Exit => {
+	const ready = queue.waiting.filter(request => canStart(request));
 	if (ready.length === 0) {
-		return {queue: room};
+		return {queue};
 	}
 
-	const {chosen, credit} = pickPriority(room, ready);
-	const next = pickRequest(room, ready.filter(({priority}) => priority === chosen));
-	const waiting = room.waiting.filter(({id}) => id !== next.id);
-	const sinceLast = Math.min(longestGapMs, now - room.lastStartAt);
+	const {chosen, credit} = pickPriority(queue, ready);
+	const next = pickRequest(queue, ready.filter(({priority}) => priority === chosen));
+	const waiting = queue.waiting.filter(({id}) => id !== next.id);
+	const sinceLast = Math.min(longestGapMs, now - queue.lastStartAt);
 	return {
 		next,
 		queue: {
-			...room,
+			...queue,
 			waiting,
 			credit,
-			served: chargeOrganisation(room, next),
-			msPerStart: smooth(room.msPerStart, sinceLast),
+			served: chargeOrganisation(queue, next),
+			msPerStart: smooth(queue.msPerStart, sinceLast),
 			lastStartAt: now,
 		},
 	};
--- a/packages/routing/src/request-queue/enqueue-request.ts
+++ b/packages/routing/src/request-queue/enqueue-request.ts
@@ -13,10 +13,10 @@
 const shareOfPlaces: Readonly<Record<Priority, number>> = {quick: 1, normal: 0.75, slow: 0.5};
 
 /** Lets a request wait, if it can start in time and there is a place. Otherwise it is to be refused at once. */
-export const enqueueRequest = (room: QueueState, request: QueuedRequest, limit: number, now: number): Entry => {
-	const isFull = room.waiting.length >= limit * shareOfPlaces[request.priority];
-	const isTooLate = expectedStart(room, request, now) > request.startBy;
+export const enqueueRequest = (queue: QueueState, request: QueuedRequest, limit: number, now: number): Entry => {
+	const isFull = queue.waiting.length >= limit * shareOfPlaces[request.priority];
+	const isTooLate = expectedStart(queue, request, now) > request.startBy;
 	return isFull || isTooLate
-		? {queue: room, isAdmitted: false}
-		: {queue: {...room, waiting: [...room.waiting, request]}, isAdmitted: true};
+		? {queue, isAdmitted: false}
+		: {queue: {...queue, waiting: [...queue.waiting, request]}, isAdmitted: true};
 };
