--- a/packages/entry/src/adapter/change-answer.ts
+++ b/packages/entry/src/adapter/change-status.ts
@@ -1,5 +1,5 @@
 /** What a host that follows the store itself may learn from a peer of its hall. */
-export type ChangeAnswer =
+export type ChangeStatus =
 	/** Something changed after the revision that was asked about. */
 	| {readonly type: 'changed'}
 	/** Nothing had changed a moment ago; the peer knows the topic whole up to the revision `at` of the store. */
--- a/packages/entry/src/adapter/store-changes.ts
+++ b/packages/entry/src/adapter/store-changes.ts
@@ -1,4 +1,4 @@
-import type {ChangeAnswer} from './change-answer.js';
+import type {ChangeStatus} from './change-status.js';
 
 /**
 Change notifications between the hosts of a hall: whether something changed in the store.
@@ -14,15 +14,15 @@
 	Tells peers how this host sees a topic: known whole up to the store's revision `at`, last changed at `changedAt` or before.
 	`undefined` when it cannot follow the topic now. It counts until `validUntil`, in elapsed ms, or until it is told anew.
 	*/
-	readonly tell: (topic: string, seen: {readonly at: number; readonly changedAt: number; readonly validUntil?: number} | undefined) => void;
+	readonly publish: (topic: string, seen: {readonly at: number; readonly changedAt: number; readonly validUntil?: number} | undefined) => void;
 	/** Notes that the store was in reach of this host, at `at` in elapsed ms. */
 	readonly noteStoreAnswer: (at: number) => void;
 	/** Whether peers rely on this host at the moment. */
-	readonly hasAskers: () => boolean;
+	readonly hasSubscribers: () => boolean;
 	/**
 	Asks whether a topic changed after a revision. Answers after `holdMs` at the latest, plus a moment.
 
 	@param freshMs How long ago the store may have answered the peer, in ms.
 	*/
-	readonly ask: (topic: string, after: number, holdMs: number, freshMs: number) => Promise<ChangeAnswer>;
+	readonly waitForChange: (topic: string, after: number, holdMs: number, freshMs: number) => Promise<ChangeStatus>;
 };
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,6 +1,6 @@
 export type {EntryHost} from './entry-host.js';
 export {createEventMetrics} from './metrics/create-event-metrics.js';
-export type {ChangeAnswer} from './adapter/change-answer.js';
+export type {ChangeStatus} from './adapter/change-status.js';
 export type {FleetConfig} from './config/fleet-config.js';
 export type {HeaderNames} from './adapter/header-names.js';
 export type {ListedEndpoint} from './adapter/listed-endpoint.js';
--- a/packages/entry/src/lib/host/start-health-watch.ts
+++ b/packages/entry/src/lib/host/start-health-monitor.ts
@@ -22,33 +22,33 @@
 };
 
 /** What a host finds out about itself and about other halls. */
-type HealthWatch = {
-	readonly lateness: OverloadMonitor;
+type HealthMonitor = {
+	readonly overload: OverloadMonitor;
 	readonly halls: HallMonitor;
 	/** Notes how long an endpoint took to accept a connection, in ms. */
 	readonly noteConnect: (endpoint: ListedEndpoint, tookMs: number) => void;
 	readonly close: () => void;
 };
 
-/** Starts the watches of this host's own lateness and of other halls. A host that is late judges no hall. */
-export const startHealthWatch = ({hall, isEvacuated, bounds, timeouts, open, log, now}: Options): HealthWatch => {
-	const lateness = startOverloadMonitor({
+/** Starts the watches of this host's own overload and of other halls. A host that is late judges no hall. */
+export const startHealthMonitor = ({hall, isEvacuated, bounds, timeouts, open, log, now}: Options): HealthMonitor => {
+	const overload = startOverloadMonitor({
 		boundMs: bounds.relayMs, open, log, now,
 	});
 	const halls = startHallMonitor({
-		hall, isEvacuated, probe: async address => await probeAddress(address, timeouts.probeMs) === 'reached', isOverloaded: lateness.isOverloaded, log, now,
+		hall, isEvacuated, probe: async address => await probeAddress(address, timeouts.probeMs) === 'reached', isOverloaded: overload.isOverloaded, log, now,
 	});
 	return {
-		lateness,
+		overload,
 		halls,
 		noteConnect(endpoint, tookMs) {
 			// A connection to another hall takes longer when that hall is far or cut off, which says nothing of this host.
 			if (endpoint.hall === hall) {
-				lateness.noteConnect(tookMs);
+				overload.noteConnect(tookMs);
 			}
 		},
 		close() {
-			lateness.close();
+			overload.close();
 			halls.close();
 		},
 	};
--- a/packages/entry/src/lib/host/start-peer-tasks.ts
+++ b/packages/entry/src/lib/host/start-peer-tasks.ts
@@ -18,7 +18,7 @@
 import {permitReplySchema} from '../request-limits/permit-reply-schema.js';
 import {createRightsManager} from '../rights/create-rights-manager.js';
 import type {RightsManager} from '../rights/rights-manager.js';
-import {createChangeBoard} from '../store-changes/create-change-board.js';
+import {createChangeRegistry} from '../store-changes/create-change-registry.js';
 import {createStoreChanges} from '../store-changes/create-store-changes.js';
 import {repeatByTimer} from './repeat-by-timer.js';
 
@@ -104,7 +104,7 @@
 		log,
 		now,
 	});
-	const board = createChangeBoard(elapsed);
+	const board = createChangeRegistry(elapsed);
 	const links = startPeerLinks({
 		self: {holder, address, hall},
 		directory,
--- a/packages/entry/src/lib/own-health/accept-watch.ts
+++ b/packages/entry/src/lib/own-health/accept-queue-monitor.ts
@@ -1,7 +1,7 @@
 import type {Socket} from 'node:net';
 
 /** Knows how long new connections of callers wait before this process takes them. */
-export type AcceptWatch = {
+export type AcceptQueueMonitor = {
 	/** Begins to measure at a host that listens for callers at `address`, as `ip:port`. */
 	readonly start: (address: string) => void;
 	/** Notes that a connection was taken. */
--- a/packages/entry/src/lib/own-health/create-accept-watch.ts
+++ b/packages/entry/src/lib/own-health/create-accept-queue-monitor.ts
@@ -1,5 +1,5 @@
 import type {AcceptProbe} from './accept-probe.js';
-import type {AcceptWatch} from './accept-watch.js';
+import type {AcceptQueueMonitor} from './accept-queue-monitor.js';
 import {isQueueLong} from './is-queue-long.js';
 import {startAcceptProbe} from './start-accept-probe.js';
 
@@ -21,7 +21,7 @@
 The event loop takes one connection a turn, so while turns are long, connections wait in the system's queue of new ones. Neither
 timers nor requests on kept connections are late by it; the requests that wait there are read when their callers may have left.
 */
-export const createAcceptWatch = ({isBusy, onMeasured, now}: Options): AcceptWatch => {
+export const createAcceptQueueMonitor = ({isBusy, onMeasured, now}: Options): AcceptQueueMonitor => {
 	let probe: AcceptProbe | undefined;
 	let timer: NodeJS.Timeout | undefined;
 	let measuredMs = 0;
--- a/packages/entry/src/lib/rights/create-accounts.ts
+++ b/packages/entry/src/lib/rights/create-accounts.ts
@@ -7,9 +7,9 @@
 /** Creates empty accounts. */
 export const createAccounts = (): Accounts => {
 	const accounts = new Map<string, HostAccount>();
-	const of: Accounts['get'] = budget => accounts.get(budget) ?? emptyHostAccount;
+	const get: Accounts['get'] = budget => accounts.get(budget) ?? emptyHostAccount;
 	const available: Accounts['available'] = budget => availableOf(get(budget));
-	const step: Accounts['apply'] = (budget, event) => {
+	const apply: Accounts['apply'] = (budget, event) => {
 		accounts.set(budget, stepAccount(get(budget), event));
 	};
 
--- a/packages/entry/src/lib/store-changes/create-change-board.ts
+++ b/packages/entry/src/lib/store-changes/create-change-registry.ts
@@ -1,4 +1,4 @@
-import type {ChangeBoard} from './change-board.js';
+import type {ChangeRegistry} from './change-registry.js';
 
 /** Peers that asked within this time, in ms, rely on this host. Longer than a question is held. */
 const askerMemoryMs = 5000;
@@ -11,7 +11,7 @@
 
 @param elapsed Elapsed ms: a host that wakes from a suspension must not tell what it knew before as new.
 */
-export const createChangeBoard = (elapsed: () => number): ChangeBoard => {
+export const createChangeRegistry = (elapsed: () => number): ChangeRegistry => {
 	const topics = new Map<string, Seen>();
 	let waiters: readonly Waiter[] = [];
 	let aliveAt = Number.NEGATIVE_INFINITY;
@@ -41,7 +41,7 @@
 	});
 
 	return {
-		tell(topic, seen) {
+		publish(topic, seen) {
 			if (!seen) {
 				topics.delete(topic);
 				wake(waiter => waiter.topic === topic);
@@ -54,7 +54,7 @@
 		noteStoreAnswer(at) {
 			aliveAt = Math.max(aliveAt, at);
 		},
-		hasAskers: () => elapsed() - askedAt < askerMemoryMs,
+		hasSubscribers: () => elapsed() - askedAt < askerMemoryMs,
 		async answer(topic, after, holdMs) {
 			askedAt = elapsed();
 			const seen = topics.get(topic);
--- a/packages/entry/src/lib/store-changes/create-store-changes.ts
+++ b/packages/entry/src/lib/store-changes/create-store-changes.ts
@@ -5,8 +5,8 @@
 import type {PeerLinks} from '../peers/peer-links.js';
 import {readPeerReply} from '../peers/read-peer-reply.js';
 import {smallHall} from '../peers/small-hall.js';
-import {judgeChangeReply} from './judge-change-reply.js';
-import type {ChangeBoard} from './change-board.js';
+import {interpretChangeReply} from './interpret-change-reply.js';
+import type {ChangeRegistry} from './change-registry.js';
 import {changeReplySchema} from './change-reply-schema.js';
 
 /** What a reply may take beyond the time for which it is held, in ms. */
@@ -15,7 +15,7 @@
 type Options = {
 	/** The name of this life of the host. */
 	readonly holder: string;
-	readonly board: ChangeBoard;
+	readonly board: ChangeRegistry;
 	readonly log: Log;
 	readonly links: () => Pick<PeerLinks, 'mesh' | 'hallPeers' | 'hallSize' | 'suspect'>;
 };
@@ -35,11 +35,11 @@
 	};
 
 	return {
-		tell: board.tell,
+		publish: board.publish,
 		noteStoreAnswer: board.noteStoreAnswer,
-		hasAskers: board.hasAskers,
+		hasSubscribers: board.hasSubscribers,
 		isFollower: topic => followerOf(topic) === undefined,
-		async ask(topic, after, holdMs, freshMs) {
+		async waitForChange(topic, after, holdMs, freshMs) {
 			const follower = followerOf(topic);
 			const mesh = links().mesh();
 			if (!follower || !mesh) {
@@ -56,7 +56,7 @@
 			}
 
 			const changes = readPeerReply(changeReplySchema, reply.value, {address: follower.address, type: 'news'}, log);
-			return changes ? judgeChangeReply(changes, after, freshMs) : {type: 'unknown'};
+			return changes ? interpretChangeReply(changes, after, freshMs) : {type: 'unknown'};
 		},
 	};
 };
--- a/packages/entry/src/lib/store-changes/judge-change-reply.ts
+++ b/packages/entry/src/lib/store-changes/interpret-change-reply.ts
@@ -1,4 +1,4 @@
-import type {ChangeAnswer} from '../../adapter/change-answer.js';
+import type {ChangeStatus} from '../../adapter/change-status.js';
 import type {ChangeReply} from './change-reply.js';
 
 /**
@@ -7,7 +7,7 @@
 @param after The revision up to which the asker knows the topic whole.
 @param freshMs How long ago the store may have answered the peer, in ms.
 */
-export const judgeChangeReply = ({at, changedAt, ageMs}: ChangeReply, after: number, freshMs: number): ChangeAnswer => {
+export const interpretChangeReply = ({at, changedAt, ageMs}: ChangeReply, after: number, freshMs: number): ChangeStatus => {
 	if (changedAt > after) {
 		return {type: 'changed'};
 	}
--- a/packages/entry/src/start-entry-host.ts
+++ b/packages/entry/src/start-entry-host.ts
@@ -17,11 +17,11 @@
 import {planShutdown} from './lib/host/plan-shutdown.js';
 import {runShutdown} from './lib/host/run-shutdown.js';
 import {scheduleByTimer} from './lib/host/schedule-by-timer.js';
-import {startHealthWatch} from './lib/host/start-health-watch.js';
+import {startHealthMonitor} from './lib/host/start-health-monitor.js';
 import {startServers} from './lib/host/start-servers.js';
 import {startPeerTasks} from './lib/host/start-peer-tasks.js';
 import type {ShutdownPlan} from './lib/host/shutdown-plan.js';
-import {createAcceptWatch} from './lib/own-health/create-accept-watch.js';
+import {createAcceptQueueMonitor} from './lib/own-health/create-accept-queue-monitor.js';
 import {createWaitLog} from './lib/own-health/create-wait-log.js';
 import type {HostContext} from './lib/request/host-context.js';
 import {serveRequest} from './lib/request/serve-request.js';
@@ -55,10 +55,10 @@
 	});
 	const {rights} = peerTasks;
 	let evacuatedHalls: ReadonlySet<string> | undefined = hasEvacuations ? undefined : new Set();
-	const health = startHealthWatch({
+	const health = startHealthMonitor({
 		hall, isEvacuated: name => evacuatedHalls?.has(name) ?? false, bounds, timeouts, open: open.count, log, now,
 	});
-	const {lateness, halls} = health;
+	const {overload, halls} = health;
 	let config: FleetConfig | undefined;
 	const chooser = createEndpointChooser({
 		hall,
@@ -84,10 +84,10 @@
 	setMaxListeners(0, ending.signal);
 
 	// Callers whose connections are closed come back through the balancer, which sends them to hosts that are ready.
-	const isClosing = (): boolean => stop !== undefined || lateness.isOverloaded();
+	const isClosing = (): boolean => stop !== undefined || overload.isOverloaded();
 
 	const connections = createCallerConnections(now);
-	const acceptWatch = createAcceptWatch({isBusy: () => open.count() > 0, onMeasured: createWaitLog({open: open.count, log, now}), now});
+	const acceptQueueMonitor = createAcceptQueueMonitor({isBusy: () => open.count() > 0, onMeasured: createWaitLog({open: open.count, log, now}), now});
 	const closesAfter = (res: ServerResponse): boolean => isClosing() && connections.isLastOpen(res);
 
 	// Nothing is sent before it is known which halls are to get nothing.
@@ -97,8 +97,8 @@
 		isStopping: () => stop !== undefined,
 		shutdownSignal: ending.signal,
 		mayForward: deadline => mayForward({stop, deadline, now: now()}),
-		isOverloaded: lateness.isOverloaded,
-		isShedding: lateness.isShedding,
+		isOverloaded: overload.isOverloaded,
+		isShedding: overload.isShedding,
 		waitedMs: connections.waitedMs,
 		unreadTimeout: bounds.unreadTimeout,
 		noteConnect: health.noteConnect,
@@ -120,14 +120,14 @@
 		open,
 		connections,
 		onConnection(socket) {
-			acceptWatch.accepted(socket);
-			connections.accepted(socket, acceptWatch.waitedMs());
+			acceptQueueMonitor.accepted(socket);
+			connections.accepted(socket, acceptQueueMonitor.waitedMs());
 		},
 		serve: async (req, res) => serveRequest(req, res, services),
-		isReady: () => config !== undefined && listing.isKnown() && evacuatedHalls !== undefined && !isClosing() && !acceptWatch.isQueueLong(),
+		isReady: () => config !== undefined && listing.isKnown() && evacuatedHalls !== undefined && !isClosing() && !acceptQueueMonitor.isQueueLong(),
 		closesAfter,
 	});
-	acceptWatch.start(servers.addresses.callers);
+	acceptQueueMonitor.start(servers.addresses.callers);
 	log('started', {holder, hall});
 
 	const runStop = async (plan: ShutdownPlan): Promise<void> => {
@@ -155,7 +155,7 @@
 			},
 		});
 		cancelCut();
-		acceptWatch.close();
+		acceptQueueMonitor.close();
 		health.close();
 		await peerTasks.close();
 	};
@@ -189,7 +189,7 @@
 			peerTasks.register();
 		},
 		async kill() {
-			acceptWatch.close();
+			acceptQueueMonitor.close();
 			health.close();
 			servers.kill();
 			pool.keepOnly(new Set());
--- a/packages/entry/src/test/accept-watch.test.ts
+++ b/packages/entry/src/test/create-accept-queue-monitor.test.ts
@@ -16,7 +16,7 @@
 import {listenAt} from '@deckwheel/host-kit';
 import {isAbandonedByCaller} from '../lib/admission/is-abandoned-by-caller.js';
 import {createCallerConnections} from '../lib/host/create-caller-connections.js';
-import {createAcceptWatch} from '../lib/own-health/create-accept-watch.js';
+import {createAcceptQueueMonitor} from '../lib/own-health/create-accept-queue-monitor.js';
 
 const waitMs = 700;
 
@@ -25,7 +25,7 @@
 	const server = createServer();
 	const address = await listenAt(server, '127.0.0.1:0');
 	const measured = await new Promise<number>(resolve => {
-		const watch = createAcceptWatch({
+		const watch = createAcceptQueueMonitor({
 			isBusy: () => true, onMeasured: resolve, now: () => time,
 		});
 		watch.start(address);
@@ -50,7 +50,7 @@
 		connections++;
 	});
 	const measured = await new Promise<number>(resolve => {
-		const watch = createAcceptWatch({
+		const watch = createAcceptQueueMonitor({
 			isBusy: () => false, onMeasured: resolve, now: () => 0,
 		});
 		watch.start(address);
--- a/packages/entry/src/test/large-hall.test.ts
+++ b/packages/entry/src/test/large-hall.test.ts
@@ -82,10 +82,10 @@
 	const asker = hosts.find(host => host !== follower)!.entry.storeChanges;
 	// A reply may be held for this long, so a slow machine does not make a peer look silent.
 	const holdMs = 5000;
-	t.deepEqual(await asker.ask('config', 5, holdMs, 60_000), {type: 'unknown'});
-	follower!.entry.storeChanges.tell('config', {at: 9, changedAt: 4});
-	const held = asker.ask('config', 5, holdMs, 60_000);
-	follower!.entry.storeChanges.tell('config', {at: 12, changedAt: 12});
+	t.deepEqual(await asker.waitForChange('config', 5, holdMs, 60_000), {type: 'unknown'});
+	follower!.entry.storeChanges.publish('config', {at: 9, changedAt: 4});
+	const held = asker.waitForChange('config', 5, holdMs, 60_000);
+	follower!.entry.storeChanges.publish('config', {at: 12, changedAt: 12});
 	t.deepEqual(await held, {type: 'changed'});
 });
 
--- a/packages/entry/src/test/silent-connections.test.ts
+++ b/packages/entry/src/test/silent-connections.test.ts
@@ -84,15 +84,15 @@
 	await Promise.all(hosts.map(async ({logged}) => logged('peers_listed', ({count}) => count === hostNames.length)));
 	const asker = hosts.find(({entry}) => !entry.storeChanges.isFollower('config'))!;
 	const isTold = async (): Promise<boolean> => {
-		const {type} = await asker.entry.storeChanges.ask('config', 5, holdMs, 60_000);
+		const {type} = await asker.entry.storeChanges.waitForChange('config', 5, holdMs, 60_000);
 		return type === 'changed';
 	};
 
 	// Behind relays each host has addresses of its own for the others; so the one that is asked shows by its answer.
 	const tells = async ({entry}: (typeof hosts)[number]): Promise<boolean> => {
-		entry.storeChanges.tell('config', {at: 9, changedAt: 6});
+		entry.storeChanges.publish('config', {at: 9, changedAt: 6});
 		const isAsked = await isTold();
-		entry.storeChanges.tell('config', undefined);
+		entry.storeChanges.publish('config', undefined);
 		return isAsked;
 	};
 
@@ -103,7 +103,7 @@
 
 	asker.entry.configure(makeConfig());
 	asker.entry.listEndpoints([{...endpoint.listed, address: relayTo(endpointRelay, endpoint.listed.address)}]);
-	follower.entry.storeChanges.tell('config', {at: 9, changedAt: 6});
+	follower.entry.storeChanges.publish('config', {at: 9, changedAt: 6});
 	const isEverTold = async (): Promise<boolean> => {
 		for (const end = performance.now() + askForMs; performance.now() < end;) {
 			if (await isTold()) {
--- a/packages/entry/src/test/unread-request.test.ts
+++ b/packages/entry/src/test/unread-request.test.ts
@@ -1,5 +1,5 @@
 /**
-The request of a caller that gave it up, as its wait shows, is refused and never sent on (story: accept-watch.test.ts). A deadline counts
+The request of a caller that gave it up, as its wait shows, is refused and never sent on (story: create-accept-queue-monitor.test.ts). A deadline counts
 from when the request came to this machine, as far as that is known.
 */
 import {createServer} from 'node:http';
