--- a/packages/daemon/src/lib/gateway/create-service-work.ts
+++ b/packages/daemon/src/lib/gateway/create-service-work.ts
@@ -1,4 +1,4 @@
-import type {Answer} from '@deckwheel/ledger';
+import type {StoredResponse} from '@deckwheel/ledger';
 import type {RunJob} from '../running/run-job.js';
 import {serviceJob} from '../running/service-job.js';
 import {gatewayRefusals} from './gateway-refusals.js';
@@ -13,7 +13,7 @@
 		return gatewayRefusals.unknownCall;
 	}
 
-	let answer: Answer | undefined;
+	let answer: StoredResponse | undefined;
 	const refusal = await runJob(serviceJob({
 		service: service.id,
 		call,
--- a/packages/daemon/src/lib/peers/peer-request-schema.ts
+++ b/packages/daemon/src/lib/peers/peer-request-schema.ts
@@ -1,4 +1,4 @@
-import {suspicionsQuestionSchema} from '@deckwheel/poison';
+import {suspicionsRequestSchema} from '@deckwheel/poison';
 import {z} from 'zod';
 
 const text = z.string().max(400);
@@ -63,7 +63,7 @@
 	z.object({type: z.literal('heartbeat'), status: statusSchema}),
 	z.object({type: z.literal('pairs')}),
 	z.object({type: z.literal('bundle')}),
-	suspicionsQuestionSchema,
+	suspicionsRequestSchema,
 	z.object({
 		type: z.literal('slot'),
 		slot: z.number().int().nonnegative(),
--- a/packages/daemon/src/lib/running/chat-job.ts
+++ b/packages/daemon/src/lib/running/chat-job.ts
@@ -1,7 +1,7 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import type {Bundle} from '@deckwheel/bundle';
 import {prefixBlocks, httpStatus} from '@deckwheel/core';
-import type {Answer, Run} from '@deckwheel/ledger';
+import type {StoredResponse, Run} from '@deckwheel/ledger';
 import type {Caller} from '../gateway/caller.js';
 import type {ChatRequest} from '../gateway/reading/chat-request.js';
 import {fingerprint} from '../gateway/fingerprint.js';
@@ -48,7 +48,7 @@
 		stream.push(event);
 	};
 
-	const answer = (): Answer => ({status: httpStatus.ok, contentType: streamContentType, body: stream.events.join('')});
+	const answer = (): StoredResponse => ({status: httpStatus.ok, contentType: streamContentType, body: stream.events.join('')});
 
 	const toRunEnd = (end: EngineEnd): RunEnd => {
 		switch (end.type) {
--- a/packages/daemon/src/lib/running/job.ts
+++ b/packages/daemon/src/lib/running/job.ts
@@ -1,4 +1,4 @@
-import {type Run, type Answer} from '@deckwheel/ledger';
+import {type Run, type StoredResponse} from '@deckwheel/ledger';
 import type {PlaceRequest} from '../placing/place-request.js';
 import type {RequestKey} from '../gateway/request-key.js';
 import type {RunEnd} from './run-end.js';
@@ -22,7 +22,7 @@
 	/** Follows a run that another host started. `no_such_run` when the endpoint does not know it. */
 	readonly follow: (run: Run, url: string) => Promise<RunEnd | 'no_such_run' | 'cannot_follow'>;
 	/** Hands a kept answer to the caller. */
-	readonly deliver: (answer: Answer) => void;
+	readonly deliver: (answer: StoredResponse) => void;
 	/** Whether the caller got a part of an answer already; then no other run's answer may follow. */
 	readonly hasOutput: () => boolean;
 };
--- a/packages/daemon/src/lib/running/recalled.ts
+++ b/packages/daemon/src/lib/running/recalled.ts
@@ -1,5 +1,5 @@
 import type {Refusal, RunState} from '@deckwheel/core';
-import type {Answer, Run} from '@deckwheel/ledger';
+import type {StoredResponse, Run} from '@deckwheel/ledger';
 
 /** What is to be done with a key whose record was read. */
 export type Recalled =
@@ -7,6 +7,6 @@
 	| {readonly type: 'claim'; readonly ran: RunState}
 	| {readonly type: 'refuse'; readonly refusal: Refusal}
 	/** The request has an answer already. */
-	| {readonly type: 'deliver'; readonly answer: Answer}
+	| {readonly type: 'deliver'; readonly answer: StoredResponse}
 	/** Another attempt of the same request runs now. */
 	| {readonly type: 'attach'; readonly run: Run};
--- a/packages/daemon/src/lib/running/run-end.ts
+++ b/packages/daemon/src/lib/running/run-end.ts
@@ -1,9 +1,9 @@
-import type {Answer, RunOutcome} from '@deckwheel/ledger';
+import type {StoredResponse, RunOutcome} from '@deckwheel/ledger';
 
 /** How a run ended, as its runner saw it. */
 export type RunEnd = {
 	readonly outcome: RunOutcome;
 	readonly served: number;
 	readonly outputTokens: number;
-	readonly answer?: Answer;
+	readonly answer?: StoredResponse;
 };
--- a/packages/daemon/src/lib/running/send-run.ts
+++ b/packages/daemon/src/lib/running/send-run.ts
@@ -27,10 +27,10 @@
 const notePoison = ({job, run, place, poison}: Options, {end, sentAt}: Sent): void => {
 	const request = (): string => fingerprintOfJob(job);
 	if (end.outcome === 'finished' || end.outcome === 'failed') {
-		poison.runAnswered(request);
+		poison.noteAnsweredRun(request);
 	} else if (end.outcome === 'lost') {
 		const endpoint = {id: `${place.endpoint} ${job.key.text}#${run.number}`, address: new URL(place.url).host};
-		poison.runLost({
+		poison.noteLostRun({
 			id: job.key.text, fingerprint: request, endpoint, sentAt,
 		});
 	}
--- a/packages/daemon/src/lib/running/service-job.ts
+++ b/packages/daemon/src/lib/running/service-job.ts
@@ -1,4 +1,4 @@
-import type {Answer} from '@deckwheel/ledger';
+import type {StoredResponse} from '@deckwheel/ledger';
 import got, {type Method} from 'got';
 import type {Caller} from '../gateway/caller.js';
 import {fingerprint} from '../gateway/fingerprint.js';
@@ -22,7 +22,7 @@
 	readonly body: string;
 	readonly caller: Caller;
 	readonly options: RequestOptions;
-	readonly deliver: (answer: Answer) => void;
+	readonly deliver: (answer: StoredResponse) => void;
 };
 
 /** Builds the job for a call to a plain service. */
@@ -31,7 +31,7 @@
 	const {key, priority} = options;
 	let isDelivered = false;
 
-	const deliverOnce = (answer: Answer): void => {
+	const deliverOnce = (answer: StoredResponse): void => {
 		isDelivered = true;
 		deliver(answer);
 	};
--- a/packages/entry/src/lib/hall-health/hall-monitor.ts
+++ b/packages/entry/src/lib/hall-health/hall-monitor.ts
@@ -6,10 +6,10 @@
 	readonly list: (endpoints: readonly ListedEndpoint[]) => void;
 	readonly isUnreachable: (hall: string) => boolean;
 	/** Notes that a try began. Returns what notes its end. */
-	readonly open: (attempt: OpenAttempt) => () => void;
+	readonly noteAttempt: (attempt: OpenAttempt) => () => void;
 	/** Notes that bytes of a hall's endpoint came. */
-	readonly heard: (hall: string) => void;
+	readonly noteHeard: (hall: string) => void;
 	/** Notes that a hall's endpoint took no connection. */
-	readonly connectFailed: (hall: string) => void;
+	readonly noteConnectFailure: (hall: string) => void;
 	readonly close: () => void;
 };
--- a/packages/entry/src/lib/hall-health/start-hall-monitor.ts
+++ b/packages/entry/src/lib/hall-health/start-hall-monitor.ts
@@ -99,11 +99,11 @@
 			byHall = groupByHall(endpoints.filter(({isLeaving}) => !isLeaving));
 		},
 		isUnreachable: hall => reachOf(hall).isLost,
-		open: attempts.add,
-		heard(hall) {
+		noteAttempt: attempts.add,
+		noteHeard(hall) {
 			stepOther(hall, {type: 'heard'});
 		},
-		connectFailed(hall) {
+		noteConnectFailure(hall) {
 			stepOther(hall, {type: 'connect_failed'});
 		},
 		close() {
--- a/packages/entry/src/lib/host/start-peer-tasks.ts
+++ b/packages/entry/src/lib/host/start-peer-tasks.ts
@@ -93,7 +93,7 @@
 	const limits = createEndpointLimits({
 		self: () => links.self(),
 		others: () => links.others(),
-		isSettled: () => links.isSettled(),
+		isSettled: () => links.isPeerListKnown(),
 		askPermit: async (asked, question) => askPeer(asked, {type: 'permit', ...question}, permitReplySchema),
 		sendLimits: async (asked, message) => askPeer(asked, {type: 'limits', ...message}, limitsReplySchema),
 		noteHost(peer, how) {
@@ -117,7 +117,7 @@
 		answerPermit: limits.answerPermit,
 		answerLimits: limits.answerLimits,
 		onListed() {
-			poison.peersListed();
+			poison.notePeerList();
 			limits.peersListed();
 		},
 		log,
--- a/packages/entry/src/lib/peers/peer-links.ts
+++ b/packages/entry/src/lib/peers/peer-links.ts
@@ -17,7 +17,7 @@
 	/** Hosts listed for this hall, in reach or not, this one among them. */
 	readonly hallSize: () => number;
 	/** Whether the directory was read after all hosts that started together had time to be listed. */
-	readonly isSettled: () => boolean;
+	readonly isPeerListKnown: () => boolean;
 	/** This host and all that are listed; `undefined` until the directory was read after all hosts that started together had time to be listed. The same value until it changes. */
 	readonly hostNames: () => HostNames | undefined;
 	/** Takes in a host that showed itself (`direct`), or that a peer reported, until the directory is read again. */
--- a/packages/entry/src/lib/peers/peer-message-schema.ts
+++ b/packages/entry/src/lib/peers/peer-message-schema.ts
@@ -1,7 +1,7 @@
-import {suspicionsQuestionSchema} from '@deckwheel/poison';
+import {suspicionsRequestSchema} from '@deckwheel/poison';
 import {z} from 'zod';
 import {limitsMessageSchema} from '../request-limits/limits-message-schema.js';
-import {permitQuestionSchema} from '../request-limits/permit-question-schema.js';
+import {permitRequestSchema} from '../request-limits/permit-request-schema.js';
 
 /** What hosts ask of each other. Amounts are tokens. */
 export const peerMessageSchema = z.discriminatedUnion('type', [
@@ -22,7 +22,7 @@
 	z.object({
 		type: z.literal('hand_back'), to: z.string(), budget: z.string(), total: z.number().nonnegative(),
 	}),
-	suspicionsQuestionSchema,
-	permitQuestionSchema,
+	suspicionsRequestSchema,
+	permitRequestSchema,
 	limitsMessageSchema,
 ]);
--- a/packages/entry/src/lib/peers/start-peer-links.ts
+++ b/packages/entry/src/lib/peers/start-peer-links.ts
@@ -94,7 +94,7 @@
 		},
 		hallPeers: () => peers.hall().peers,
 		hallSize: () => peers.hall().size,
-		isSettled: registration.isSettled,
+		isPeerListKnown: registration.isSettled,
 		hostNames: () => registration.isSettled() ? peers.names() : undefined,
 		noteHost(peer, how) {
 			if (how === 'direct' || !peers.names().hosts.includes(peer.address)) {
--- a/packages/entry/src/lib/request-limits/create-endpoint-limits.ts
+++ b/packages/entry/src/lib/request-limits/create-endpoint-limits.ts
@@ -9,7 +9,7 @@
 import type {LimitedEndpoint} from './limited-endpoint.js';
 import type {LimitsMessage} from './limits-message.js';
 import type {LimitsReply} from './limits-reply.js';
-import type {PermitQuestion} from './permit-question.js';
+import type {PermitRequest} from './permit-request.js';
 import type {PermitReply} from './permit-reply.js';
 import type {Permit} from './permit.js';
 
@@ -24,7 +24,7 @@
 	/** Whether the list of hosts is known. */
 	readonly isSettled: () => boolean;
 	/** Asks one peer for a permit; `undefined` when it does not answer in time. */
-	readonly askPermit: (address: string, question: PermitQuestion) => Promise<PermitReply | undefined>;
+	readonly askPermit: (address: string, question: PermitRequest) => Promise<PermitReply | undefined>;
 	/** Tells one peer of limits; `undefined` when it does not answer in time. */
 	readonly sendLimits: (address: string, message: LimitsMessage) => Promise<LimitsReply | undefined>;
 	/** Takes in a host that showed itself, or that a peer reported. */
--- a/packages/entry/src/lib/request-limits/create-permit-client.ts
+++ b/packages/entry/src/lib/request-limits/create-permit-client.ts
@@ -2,7 +2,7 @@
 import type {LimitExchange} from './limit-exchange.js';
 import type {LimitTable} from './limit-table.js';
 import type {LimitedEndpoint} from './limited-endpoint.js';
-import type {PermitQuestion} from './permit-question.js';
+import type {PermitRequest} from './permit-request.js';
 import type {PermitReply} from './permit-reply.js';
 import type {Permit} from './permit.js';
 
@@ -17,7 +17,7 @@
 	/** Hands out a permit as the coordinator of that rank, from 0. */
 	readonly issue: (endpoint: string, perSecond: number, rank: number) => Permit;
 	/** Asks one peer for a permit; `undefined` when it does not answer in time. */
-	readonly ask: (address: string, question: PermitQuestion) => Promise<PermitReply | undefined>;
+	readonly ask: (address: string, question: PermitRequest) => Promise<PermitReply | undefined>;
 	/** Takes in a host that a peer reported. */
 	readonly noteHost: (peer: ListedPeer) => void;
 	/** Monotonic ms. */
--- a/packages/entry/src/lib/request-limits/endpoint-limits.ts
+++ b/packages/entry/src/lib/request-limits/endpoint-limits.ts
@@ -1,7 +1,7 @@
 import type {ListedPeer} from '../../adapter/listed-peer.js';
 import type {LimitExchange} from './limit-exchange.js';
 import type {LimitedEndpoint} from './limited-endpoint.js';
-import type {PermitQuestion} from './permit-question.js';
+import type {PermitRequest} from './permit-request.js';
 import type {PermitReply} from './permit-reply.js';
 import type {Permit} from './permit.js';
 
@@ -12,7 +12,7 @@
 	/** Acquires a permit for one request to an endpoint with a limit. */
 	readonly acquire: (endpoint: LimitedEndpoint) => Promise<Permit>;
 	/** Answers a peer that asks this host, as a coordinator, for a permit. */
-	readonly answerPermit: (asker: ListedPeer, question: Omit<PermitQuestion, 'asker'>) => PermitReply;
+	readonly answerPermit: (asker: ListedPeer, question: Omit<PermitRequest, 'asker'>) => PermitReply;
 	/** Answers a peer that reports limits, or asks for them. */
 	readonly answerLimits: LimitExchange['answer'];
 };
--- a/packages/entry/src/lib/request/create-request-end.ts
+++ b/packages/entry/src/lib/request/create-request-end.ts
@@ -18,14 +18,14 @@
 	/** Monotonic ms. */
 	readonly deadline: number;
 	/** Aborted when the host ends. */
-	readonly ending: AbortSignal;
+	readonly shutdownSignal: AbortSignal;
 	readonly schedule: Schedule;
 	/** Monotonic ms. */
 	readonly now: () => number;
 };
 
 /** Watches for what ends a request early: its deadline, the end of the host, or a caller that leaves. A caller that left goes first. */
-export const createRequestEnd = ({res, deadline, ending, schedule, now}: Options): RequestEnd => {
+export const createRequestEnd = ({res, deadline, shutdownSignal, schedule, now}: Options): RequestEnd => {
 	const abort = new AbortController();
 	let isTimedOut = false;
 	let hasCallerLeft = false;
@@ -41,7 +41,7 @@
 	};
 
 	const forgetAnswer = onceResponseClosed(res, onClose);
-	ending.addEventListener('abort', onDeadline);
+	shutdownSignal.addEventListener('abort', onDeadline);
 	// A close that came before this is never told again.
 	if (res.closed || res.req.socket.destroyed) {
 		onClose();
@@ -66,7 +66,7 @@
 		},
 		close() {
 			cancelTimer();
-			ending.removeEventListener('abort', onDeadline);
+			shutdownSignal.removeEventListener('abort', onDeadline);
 			forgetAnswer();
 		},
 	};
--- a/packages/entry/src/lib/request/run-attempt.ts
+++ b/packages/entry/src/lib/request/run-attempt.ts
@@ -85,7 +85,7 @@
 	const relayed = await relayStream(response, request.res, {
 		lastId: lastEventId,
 		onChunk() {
-			host.halls.heard(endpoint.hall);
+			host.halls.noteHeard(endpoint.hall);
 		},
 		beforeWrite() {
 			writer.beginStream(response);
@@ -130,7 +130,7 @@
 		return {type: 'lost', reason: 'lost'};
 	}
 
-	host.halls.heard(options.endpoint.hall);
+	host.halls.noteHeard(options.endpoint.hall);
 	return result.type === 'answered' ? receive(result.response, options, host) : result;
 };
 
--- a/packages/entry/src/lib/request/run-request.ts
+++ b/packages/entry/src/lib/request/run-request.ts
@@ -52,16 +52,16 @@
 		}
 		: {type: judgement, endpoint: id});
 	if (end.type === 'unsent' && !isOver) {
-		host.halls.connectFailed(hall);
+		host.halls.noteConnectFailure(hall);
 	}
 };
 
 /** Tells the watch of requests that end endpoints how a try ended. */
 const notePoison = ({id, fingerprint}: RequestInputs, {end, endpoint, startedAt, isOver}: Omit<EndedAttempt, 'outputTokens'>, {poison}: HostContext): void => {
 	if (isAnswer(end)) {
-		poison.runAnswered(fingerprint);
+		poison.noteAnsweredRun(fingerprint);
 	} else if (end.type === 'lost' && !isOver) {
-		poison.runLost({
+		poison.noteLostRun({
 			id, fingerprint, endpoint, sentAt: startedAt,
 		});
 	}
@@ -83,7 +83,7 @@
 	const tokensPerEvent = host.config()?.services.get(service)?.tokensPerEvent ?? 0;
 	const writer = createResponseWriter(res, req.method === 'HEAD', () => host.closesAfter(res));
 	const requestEnd = createRequestEnd({
-		res, deadline, ending: shutdownSignal, schedule, now,
+		res, deadline, shutdownSignal, schedule, now,
 	});
 	let progress: RequestProgress = noProgress;
 
--- a/packages/entry/src/lib/rights/create-rights-manager.ts
+++ b/packages/entry/src/lib/rights/create-rights-manager.ts
@@ -30,7 +30,7 @@
 	readonly holder: string;
 	readonly store: RightsStore;
 	readonly loanClient: LoanClient;
-	readonly links: () => Pick<PeerLinks, 'hallPeers' | 'hallSize' | 'isSettled' | 'peerOf'>;
+	readonly links: () => Pick<PeerLinks, 'hallPeers' | 'hallSize' | 'isPeerListKnown' | 'peerOf'>;
 	readonly timeouts: Timeouts;
 	readonly log: Log;
 	/** Monotonic ms. */
@@ -84,7 +84,7 @@
 	const balance = startRightsBalance({
 		holder, accounts, allocators, borrower, writer, state, holdingPolicy, log, now,
 		budgets: () => limits.byBudget.keys(),
-		isSettled: () => links().isSettled(),
+		isSettled: () => links().isPeerListKnown(),
 		isRetiring: () => isRetiring,
 		isDrawPaused: recovery.isDrawPaused,
 	});
--- a/packages/entry/src/lib/sending/track-attempt.ts
+++ b/packages/entry/src/lib/sending/track-attempt.ts
@@ -26,6 +26,6 @@
 
 	return {
 		signal: AbortSignal.any([signal, move.signal]),
-		end: halls.open({endpoint, sentAt, abandon: mayMove ? abandon : undefined}),
+		end: halls.noteAttempt({endpoint, sentAt, abandon: mayMove ? abandon : undefined}),
 	};
 };
--- a/packages/entry/src/test/create-request-end.test.ts
+++ b/packages/entry/src/test/create-request-end.test.ts
@@ -40,7 +40,7 @@
 };
 
 const watch = (res: ServerResponse, now: () => number) => createRequestEnd({
-	res, deadline, ending: new AbortController().signal, schedule: never, now,
+	res, deadline, shutdownSignal: new AbortController().signal, schedule: never, now,
 });
 
 test('a caller that left before the first try has left', async t => {
--- a/packages/entry/src/test/lib/play-death-of-all.ts
+++ b/packages/entry/src/test/lib/play-death-of-all.ts
@@ -105,7 +105,7 @@
 				store,
 				loanClient,
 				links: () => ({
-					hallPeers: () => [peer], hallSize: () => 1, isSettled: () => true, peerOf: holder => peers.find(entry => entry.holder === holder),
+					hallPeers: () => [peer], hallSize: () => 1, isPeerListKnown: () => true, peerOf: holder => peers.find(entry => entry.holder === holder),
 				}),
 				timeouts: defaultTimeouts,
 				log: () => undefined,
--- a/packages/entry/src/test/lib/start-keepers.ts
+++ b/packages/entry/src/test/lib/start-keepers.ts
@@ -62,7 +62,7 @@
 			store,
 			loanClient,
 			links: () => ({
-				hallPeers: () => inReach, hallSize: () => count, isSettled: () => true, peerOf: holder => peers.find(entry => entry.holder === holder),
+				hallPeers: () => inReach, hallSize: () => count, isPeerListKnown: () => true, peerOf: holder => peers.find(entry => entry.holder === holder),
 			}),
 			timeouts: defaultTimeouts,
 			log(event) {
--- a/packages/entry/src/test/start-hall-watch.test.ts
+++ b/packages/entry/src/test/start-hall-watch.test.ts
@@ -23,14 +23,14 @@
 	const far = endpoint('2', 'b');
 	const gone = {...endpoint('3', 'b'), isLeaving: true};
 	halls.list([near, far, gone]);
-	halls.open({
+	halls.noteAttempt({
 		endpoint: near, sentAt: 0, abandon() {
 			told.push(near.id);
 		},
 	});
-	halls.open({endpoint: far, sentAt: 0});
+	halls.noteAttempt({endpoint: far, sentAt: 0});
 	await new Promise<void>(resolve => {
-		halls.open({
+		halls.noteAttempt({
 			endpoint: far, sentAt: 0, abandon() {
 				told.push(far.id);
 				resolve();
--- a/packages/lab/src/slopes.ts
+++ b/packages/lab/src/slopes.ts
@@ -3,7 +3,7 @@
 import {Packr} from 'msgpackr';
 import {adoptBundle, signText} from '@deckwheel/bundle';
 import {
-	applyOp, decide, emptyLedger, newReplica, planDraw, planPair, stepReplica, type Ledger, type Replica, type ReplicaEvent, type ReplicaMessage, type RightsObject, type SlotRequest,
+	applyOp, decideSlotRequest, emptyLedger, newReplica, planDraw, planPair, stepReplica, type Ledger, type Replica, type ReplicaEvent, type ReplicaMessage, type RightsObject, type SlotRequest,
 } from '@deckwheel/ledger';
 import {
 	scoreByCost, stepEndpoints, chooseEndpoint, type EndpointTable,
@@ -109,7 +109,7 @@
 		// A body of its own for each claim, as it comes off the wire.
 		const settle = packr.unpack(packr.pack(settleOf(keyAt(index)))) as SlotRequest;
 		for (const request of [packr.unpack(packr.pack(claimOf(keyAt(index)))) as SlotRequest, settle]) {
-			for (const op of decide(ledger, request, 1).ops) {
+			for (const op of decideSlotRequest(ledger, request, 1).ops) {
 				ledger = applyOp(ledger, op);
 			}
 		}
--- a/packages/ledger/src/claims/claim.ts
+++ b/packages/ledger/src/claims/claim.ts
@@ -1,4 +1,4 @@
-import type {Answer} from './answer.js';
+import type {StoredResponse} from './stored-response.js';
 import type {Run} from './run.js';
 
 /** What is known of one request, found by its budget and key. */
@@ -11,7 +11,7 @@
 	readonly runs: readonly Run[];
 	/** Tokens billed. Set once; a claim is never billed again. */
 	readonly bill?: number;
-	readonly answer?: Answer;
+	readonly answer?: StoredResponse;
 	/** Wall-clock time in ms until which retries are recognised. */
 	readonly keepUntil: number;
 };
--- a/packages/ledger/src/claims/decide.ts
+++ b/packages/ledger/src/claims/decide-slot-request.ts
@@ -14,7 +14,7 @@
 
 @param now Wall-clock ms.
 */
-export const decide = (ledger: Ledger, request: SlotRequest, now: number): Decision => {
+export const decideSlotRequest = (ledger: Ledger, request: SlotRequest, now: number): Decision => {
 	switch (request.type) {
 		case 'claim': {
 			return decideClaim(ledger, request);
--- a/packages/ledger/src/claims/ledger-op.ts
+++ b/packages/ledger/src/claims/ledger-op.ts
@@ -1,4 +1,4 @@
-import type {Answer} from './answer.js';
+import type {StoredResponse} from './stored-response.js';
 import type {Run} from './run.js';
 import type {RunOutcome} from './run-outcome.js';
 
@@ -12,7 +12,7 @@
 	/** A further run of a claim. */
 	| {readonly type: 'rerun'; readonly claim: string; readonly run: Run}
 	/** A run ended. `bill` is present when this ends the claim. */
-	| {readonly type: 'settle'; readonly claim: string; readonly run: number; readonly outcome: RunOutcome; readonly served: number; readonly bill?: number; readonly answer?: Answer}
+	| {readonly type: 'settle'; readonly claim: string; readonly run: number; readonly outcome: RunOutcome; readonly served: number; readonly bill?: number; readonly answer?: StoredResponse}
 	/** The store confirmed this total for the budget. */
 	| {readonly type: 'grant'; readonly budget: string; readonly granted: number}
 	/** Rights go back to the store; they are gone here before the store hears of it. */
--- a/packages/ledger/src/claims/settle-request.ts
+++ b/packages/ledger/src/claims/settle-request.ts
@@ -1,4 +1,4 @@
-import type {Answer} from './answer.js';
+import type {StoredResponse} from './stored-response.js';
 import type {RunOutcome} from './run-outcome.js';
 
 /** The runner tells how a run ended. Safe to send again. */
@@ -14,5 +14,5 @@
 	readonly served: number;
 	/** True when the caller gets no further run: what was served is billed now. */
 	readonly final: boolean;
-	readonly answer?: Answer;
+	readonly answer?: StoredResponse;
 };
--- a/packages/ledger/src/claims/slot-reply.ts
+++ b/packages/ledger/src/claims/slot-reply.ts
@@ -1,6 +1,6 @@
 import type {Refusal} from '@deckwheel/core';
 import type {Pair} from '../replica/pair.js';
-import type {Answer} from './answer.js';
+import type {StoredResponse} from './stored-response.js';
 import type {Claim} from './claim.js';
 import type {Run} from './run.js';
 
@@ -11,7 +11,7 @@
 	/** Another attempt runs already: its stream is to be attached to. */
 	| {readonly type: 'attach'; readonly run: Run}
 	/** It ran; here is the answer, and what it was billed. */
-	| {readonly type: 'answer'; readonly answer: Answer; readonly bill: number}
+	| {readonly type: 'answer'; readonly answer: StoredResponse; readonly bill: number}
 	| {readonly type: 'refused'; readonly refusal: Refusal}
 	/** The holder lacks rights; `missing` tokens more are needed. */
 	| {readonly type: 'short'; readonly missing: number}
--- a/packages/ledger/src/claims/answer.ts
+++ b/packages/ledger/src/claims/stored-response.ts
@@ -1,5 +1,5 @@
 /** A whole answer, kept so that a retry gets the same one. */
-export type Answer = {
+export type StoredResponse = {
 	readonly status: number;
 	readonly contentType: string;
 	readonly body: string;
--- a/packages/ledger/src/index.ts
+++ b/packages/ledger/src/index.ts
@@ -1,12 +1,12 @@
 export {accountOf} from './account/account-of.js';
-export type {Answer} from './claims/answer.js';
+export type {StoredResponse} from './claims/stored-response.js';
 export {applyOp} from './claims/apply-op.js';
 export {available} from './account/available.js';
 export type {BudgetRights} from './store/budget-rights.js';
 export {claimId} from './claims/claim-id.js';
 export type {ClaimRequest} from './claims/claim-request.js';
 export type {Claim} from './claims/claim.js';
-export {decide} from './claims/decide.js';
+export {decideSlotRequest} from './claims/decide-slot-request.js';
 export {drawAmount} from './store/draw-amount.js';
 export type {DrawPlan} from './store/draw-plan.js';
 export type {DrawRequest} from './store/draw-request.js';
--- a/packages/ledger/src/lib/step-request.ts
+++ b/packages/ledger/src/lib/step-request.ts
@@ -1,5 +1,5 @@
 import {applyOp} from '../claims/apply-op.js';
-import {decide} from '../claims/decide.js';
+import {decideSlotRequest} from '../claims/decide-slot-request.js';
 import type {ReplicaEffect} from '../replica/replica-effect.js';
 import type {ReplicaEvent} from '../replica/replica-event.js';
 import type {ReplicaStep} from '../replica/replica-step.js';
@@ -22,7 +22,7 @@
 		return {replica, effects: [{type: 'reply', id, reply: {type: 'not_owner', pair: replica.pair}}]};
 	}
 
-	const {ops, reply} = decide(replica.ledger, event.request, now);
+	const {ops, reply} = decideSlotRequest(replica.ledger, event.request, now);
 	const {slot, pair: {epoch, backup}} = replica;
 	const changes = ops.length > 0;
 	const seq = changes ? replica.seq + 1 : replica.seq;
--- a/packages/ledger/src/test/decide.test.ts
+++ b/packages/ledger/src/test/decide-slot-request.test.ts
@@ -2,7 +2,7 @@
 import {applyOp} from '../claims/apply-op.js';
 import {available} from '../account/available.js';
 import type {ClaimRequest} from '../claims/claim-request.js';
-import {decide} from '../claims/decide.js';
+import {decideSlotRequest} from '../claims/decide-slot-request.js';
 import {emptyLedger} from '../claims/empty-ledger.js';
 import type {Ledger} from '../claims/ledger.js';
 import type {SettleRequest} from '../claims/settle-request.js';
@@ -39,7 +39,7 @@
 const funded = (tokens = 100): Ledger => applyOp(emptyLedger('x#1'), {type: 'grant', budget: 'b', granted: tokens});
 
 const play = (ledger: Ledger, request: SlotRequest, now = 1) => {
-	const {ops, reply} = decide(ledger, request, now);
+	const {ops, reply} = decideSlotRequest(ledger, request, now);
 	let next = ledger;
 	for (const op of ops) {
 		next = applyOp(next, op);
@@ -172,6 +172,6 @@
 	const receive = (to: string): SlotRequest => ({
 		type: 'receive', budget: 'b', to, from: 'y#1', total: 500,
 	});
-	t.deepEqual(decide(ledger, receive('x#1'), 0).ops, []);
-	t.is(decide(ledger, receive('x#2'), 0).ops.length, 1);
+	t.deepEqual(decideSlotRequest(ledger, receive('x#1'), 0).ops, []);
+	t.is(decideSlotRequest(ledger, receive('x#2'), 0).ops.length, 1);
 });
--- a/packages/ledger/src/test/replay.test.ts
+++ b/packages/ledger/src/test/replay.test.ts
@@ -3,7 +3,7 @@
 import {applyOp} from '../claims/apply-op.js';
 import {accountOf} from '../account/account-of.js';
 import {available} from '../account/available.js';
-import {decide} from '../claims/decide.js';
+import {decideSlotRequest} from '../claims/decide-slot-request.js';
 import {emptyLedger} from '../claims/empty-ledger.js';
 import type {SlotReply} from '../claims/slot-reply.js';
 import type {SlotRequest} from '../claims/slot-request.js';
@@ -25,7 +25,7 @@
 		const lines = readFileSync(new URL(file, folder), 'utf8').trim().split('\n').map(line => JSON.parse(line) as Line);
 		let ledger = emptyLedger('x#1');
 		for (const {at, request, expect, available: free} of lines) {
-			const {ops, reply} = decide(ledger, request, at);
+			const {ops, reply} = decideSlotRequest(ledger, request, at);
 			for (const op of ops) {
 				ledger = applyOp(ledger, op);
 			}
--- a/packages/poison/src/create-poison-detector.ts
+++ b/packages/poison/src/create-poison-detector.ts
@@ -7,7 +7,7 @@
 import type {LostRun} from './lost-run.js';
 import type {Peer} from './peer.js';
 import type {PoisonDetector} from './poison-detector.js';
-import type {SuspicionsQuestion} from './suspicions-question.js';
+import type {SuspicionsRequest} from './suspicions-request.js';
 import type {SuspicionsReply} from './suspicions-reply.js';
 
 /**
@@ -22,7 +22,7 @@
 	/** All other hosts that are listed, of every hall. */
 	readonly peers: () => readonly Peer[];
 	/** Asks one peer; `undefined` when it does not answer in time. */
-	readonly ask: (peer: Peer, question: SuspicionsQuestion) => Promise<SuspicionsReply | undefined>;
+	readonly ask: (peer: Peer, question: SuspicionsRequest) => Promise<SuspicionsReply | undefined>;
 	readonly ends: EndpointEnds;
 	/** Writes one line of key=value pairs for an event. */
 	readonly log: (event: string, fields: LogFields) => void;
@@ -61,10 +61,10 @@
 	};
 
 	return {
-		runLost(run) {
+		noteLostRun(run) {
 			void noteLost(run);
 		},
-		runAnswered(fingerprint) {
+		noteAnsweredRun(fingerprint) {
 			if (table.isEmpty()) {
 				return;
 			}
@@ -77,7 +77,7 @@
 		},
 		blockedUntil: fingerprint => table.isEmpty() ? undefined : table.blockedUntil(fingerprint()),
 		answer: exchange.answer,
-		peersListed: exchange.gossip,
+		notePeerList: exchange.gossip,
 		close: every(gossipEveryMs, exchange.gossip),
 	};
 };
--- a/packages/poison/src/lib/create-exchange.ts
+++ b/packages/poison/src/lib/create-exchange.ts
@@ -1,6 +1,6 @@
 import type {Peer} from '../peer.js';
 import type {PoisonDetector} from '../poison-detector.js';
-import type {SuspicionsQuestion} from '../suspicions-question.js';
+import type {SuspicionsRequest} from '../suspicions-request.js';
 import type {SuspicionsReply} from '../suspicions-reply.js';
 import {collectorsOf} from './collectors-of.js';
 import type {Learn} from './create-learner.js';
@@ -23,7 +23,7 @@
 	/** All other hosts that are listed, of every hall. */
 	readonly peers: () => readonly Peer[];
 	/** Asks one peer; `undefined` when it does not answer in time. */
-	readonly ask: (peer: Peer, question: SuspicionsQuestion) => Promise<SuspicionsReply | undefined>;
+	readonly ask: (peer: Peer, question: SuspicionsRequest) => Promise<SuspicionsReply | undefined>;
 	/** From 0 up to 1. */
 	readonly random: () => number;
 	/** Monotonic ms. */
@@ -42,11 +42,11 @@
 export const createExchange = ({table, learn, self, peers, ask, random, now}: Options): Exchange => {
 	let hasHeardOfBlocked = false;
 
-	const tell = (request: string): SuspicionsQuestion['suspicions'] => [tellSuspicion(request, table.get(request) ?? noSuspicion, now())];
+	const tell = (request: string): SuspicionsRequest['suspicions'] => [tellSuspicion(request, table.get(request) ?? noSuspicion, now())];
 
-	const tellBlocked = (): SuspicionsQuestion['suspicions'] => table.blocked().slice(0, maxTold).flatMap(request => tell(request));
+	const tellBlocked = (): SuspicionsRequest['suspicions'] => table.blocked().slice(0, maxTold).flatMap(request => tell(request));
 
-	const talkTo = async (peer: Peer, question: SuspicionsQuestion): Promise<void> => {
+	const talkTo = async (peer: Peer, question: SuspicionsRequest): Promise<void> => {
 		const reply = await ask(peer, question);
 		hasHeardOfBlocked ||= reply !== undefined && question.wantsBlocked;
 		for (const told of reply?.suspicions ?? []) {
@@ -56,7 +56,7 @@
 		}
 	};
 
-	const talkToAll = (some: readonly Peer[], question: SuspicionsQuestion): void => {
+	const talkToAll = (some: readonly Peer[], question: SuspicionsRequest): void => {
 		for (const peer of some) {
 			void talkTo(peer, question);
 		}
--- a/packages/poison/src/test/create-poison-detector.test.ts
+++ b/packages/poison/src/test/create-poison-detector.test.ts
@@ -61,7 +61,7 @@
 	}
 
 	const late = fleet.add();
-	late.life.watch.peersListed();
+	late.life.watch.notePeerList();
 	await fleet.settle();
 	t.is(fleet.knowing('r'), 8);
 });
@@ -73,7 +73,7 @@
 			await fleet.lose(fleet.members[end]!, 'r', `e${end}`);
 		}
 
-		fleet.members[size - 1]!.life.watch.runAnswered(() => 'r');
+		fleet.members[size - 1]!.life.watch.noteAnsweredRun(() => 'r');
 		await fleet.settle();
 		await fleet.round();
 		await fleet.round();
@@ -103,7 +103,7 @@
 
 	const late = fleet.add();
 	late.island = 1;
-	late.life.watch.peersListed();
+	late.life.watch.notePeerList();
 	await fleet.settle();
 	late.island = 0;
 	await fleet.lose(late, 'other', 'e9');
--- a/packages/poison/src/test/lib/create-fleet.ts
+++ b/packages/poison/src/test/lib/create-fleet.ts
@@ -91,14 +91,14 @@
 		/** The host starts again and knows nothing; it asks its peers. */
 		async restart(member: Member) {
 			member.life = startLife(members.indexOf(member), member.peer);
-			member.life.watch.peersListed();
+			member.life.watch.notePeerList();
 			await settle();
 		},
 		/** The request is sent by a host, and its endpoint ends 100 ms later. */
 		async lose(member: Member, request: string, endpoint: string) {
 			const sentAt = clockOf(members.indexOf(member));
 			time += 100;
-			member.life.watch.runLost({
+			member.life.watch.noteLostRun({
 				id: 'id',
 				fingerprint: () => request,
 				endpoint: {id: endpoint, address: ''},
