--- a/packages/entry/src/lib/choice/create-endpoint-chooser.ts
+++ b/packages/entry/src/lib/choice/create-endpoint-chooser.ts
@@ -33,7 +33,7 @@
 	let byId: ReadonlyMap<string, ListedEndpoint> = new Map();
 	let evacuations: Evacuations = {halls: new Set(), reopenedAt: new Map()};
 
-	const lostHalls = (): ReadonlySet<string> => new Set(halls.filter(name => isUnreachable(name)));
+	const unreachableHalls = (): ReadonlySet<string> => new Set(halls.filter(name => isUnreachable(name)));
 
 	// Prompts are not to be read first where no request goes any more.
 	const listPreferred = (): void => {
@@ -44,7 +44,7 @@
 	};
 
 	const limitsOf = ({service, regions}: Pick<ChoiceRequest, 'service' | 'regions'>) => ({
-		target: service, hall, lostHalls: lostHalls(), evacuatedHalls: evacuations.halls, regions, warmup: warmupRules?.(service, evacuations.reopenedAt),
+		target: service, hall, unreachableHalls: unreachableHalls(), evacuatedHalls: evacuations.halls, regions, warmup: warmupRules?.(service, evacuations.reopenedAt),
 	});
 
 	return {
