--- a/packages/entry/src/lib/request/run-request.ts
+++ b/packages/entry/src/lib/request/run-request.ts
@@ -3,7 +3,7 @@
 import {createResponseWriter} from '../relaying/create-response-writer.js';
 import {isRetryable} from '../admission/is-retryable.js';
 import {regionsOf} from '../choice/regions-of.js';
-import {obtainPermit} from '../request-limits/obtain-permit.js';
+import {acquirePermit} from '../request-limits/acquire-permit.js';
 import type {AttemptEnd} from './attempt-end.js';
 import {createRequestEnd} from './create-request-end.js';
 import {decideNextStep} from './decide-next-step.js';
@@ -52,16 +52,16 @@
 		}
 		: {type: judgement, endpoint: id});
 	if (end.type === 'unsent' && !isOver) {
-		host.halls.connectFailed(hall);
+		host.halls.noteConnectFailure(hall);
 	}
 };
 
 /** Tells the watch of requests that end endpoints how a try ended. */
 const notePoison = ({id, fingerprint}: RequestInputs, {end, endpoint, startedAt, isOver}: Omit<EndedAttempt, 'outputTokens'>, {poison}: HostContext): void => {
 	if (isAnswer(end)) {
-		poison.runAnswered(fingerprint);
+		poison.noteAnsweredRun(fingerprint);
 	} else if (end.type === 'lost' && !isOver) {
-		poison.runLost({
+		poison.noteLostRun({
 			id, fingerprint, endpoint, sentAt: startedAt,
 		});
 	}
@@ -83,7 +83,7 @@
 	const tokensPerEvent = host.config()?.services.get(service)?.tokensPerEvent ?? 0;
 	const writer = createResponseWriter(res, req.method === 'HEAD', () => host.closesAfter(res));
 	const requestEnd = createRequestEnd({
-		res, deadline, ending: shutdownSignal, schedule, now,
+		res, deadline, shutdownSignal, schedule, now,
 	});
 	let progress: RequestProgress = noProgress;
 
@@ -125,8 +125,8 @@
 			return next.type;
 		}
 
-		const isObtained = mayForward() && host.retries.mayRetry(service) && (next.needs === 'retry' || await request.reserveRun());
-		return isObtained && mayForward() ? next.type : next.otherwise;
+		const isAcquired = mayForward() && host.retries.mayRetry(service) && (next.needs === 'retry' || await request.reserveRun());
+		return isAcquired && mayForward() ? next.type : next.otherwise;
 	};
 
 	const tryEndpoint = async (endpoint: ListedEndpoint): Promise<AttemptEnd> => {
@@ -177,7 +177,7 @@
 		}
 
 		if (host.limits.isLimited(choice.endpoint.id)) {
-			if (!await obtainPermit(choice.endpoint, host)) {
+			if (!await acquirePermit(choice.endpoint, host)) {
 				continue;
 			}
 
