--- a/packages/entry/src/lib/admission/host-refusals.ts
+++ b/packages/entry/src/lib/admission/host-refusals.ts
@@ -19,6 +19,7 @@
 /** When to retry, in seconds: at best, a budget that is nearly used up is topped up by the next change of the configuration. */
 const budgetKeptRetrySeconds = 5;
 
+/** Creates a refusal of a request that did not run. Without `retryAfterSeconds`, a retry cannot help. */
 const notRun = (status: number, code: HostRefusal['code'], message: string, retryAfterSeconds?: number): HostRefusal =>
 	({
 		status, code, message, ran: 'not_run', retryAfterSeconds,
--- a/packages/entry/src/lib/admission/is-abandoned-by-caller.ts
+++ b/packages/entry/src/lib/admission/is-abandoned-by-caller.ts
@@ -7,7 +7,7 @@
 	readonly callerMs: number;
 	/** Whether the request may run more than once. Callers give up early only on requests that they may retry. */
 	readonly isRetryable: boolean;
-	/** How long callers wait for their request to be read; `undefined` where that is not known. */
+	/** How long callers wait for their request to be read before they send it elsewhere; `undefined` where that is not known. */
 	readonly unreadTimeout: Bounds['unreadTimeout'];
 };
 
--- a/packages/entry/src/lib/request/create-request-log.ts
+++ b/packages/entry/src/lib/request/create-request-log.ts
@@ -11,7 +11,7 @@
 	readonly res: ServerResponse;
 };
 
-/** Creates the log of one request, which writes one line when the request ends, however it ends. */
+/** Creates the log of one request. Each of its functions writes one line; one of them is called when the request ends. */
 export const createRequestLog = ({id, receivedAt, res}: Options, {log, config, headerNames, closesAfter, now}: HostContext): RequestLog => {
 	const elapsedMs = (): number => Math.round(now() - receivedAt);
 	return {
--- a/packages/entry/src/lib/request/decide-next-step.ts
+++ b/packages/entry/src/lib/request/decide-next-step.ts
@@ -4,7 +4,7 @@
 
 /**
 The most attempts of one request that may fail before a connection to the endpoint is open. Such attempts cost the endpoints
-nothing, so the retry limiter doesn't count them; this bound keeps a request from calling every endpoint of an unreachable hall.
+nothing, so the retry limiter does not count them; this bound keeps a request from calling every endpoint of an unreachable hall.
 */
 const maxUnsentAttempts = 4;
 
@@ -29,7 +29,7 @@
 
 | how the attempt ended | request may run once | request may run more than once |
 | --- | --- | --- |
-| `unsent` | send elsewhere, until `maxUnsentAttempts` is reached | the same |
+| `unsent` | send elsewhere; give up once `maxUnsentAttempts` is reached | the same |
 | `not_run`, `misdirected` | send elsewhere | the same |
 | `lost` | give up | send elsewhere, with rights for one more run |
 | `server_error` | pass the response on | send elsewhere with rights for one more run; otherwise pass the response on |
--- a/packages/entry/src/lib/request/host-context.ts
+++ b/packages/entry/src/lib/request/host-context.ts
@@ -33,7 +33,7 @@
 	readonly waitedMs: (res: ServerResponse) => number;
 	/** Records how long this host waited for an endpoint to accept a connection, in ms. */
 	readonly noteConnect: (endpoint: ListedEndpoint, tookMs: number) => void;
-	/** How long callers wait for their request to be read; `undefined` where that is not known. */
+	/** How long callers wait for their request to be read before they send it elsewhere; `undefined` where that is not known. */
 	readonly unreadTimeout: Bounds['unreadTimeout'];
 	readonly headerNames: HeaderNames;
 	readonly chooser: EndpointChooser;
--- a/packages/entry/src/lib/request/request-result.ts
+++ b/packages/entry/src/lib/request/request-result.ts
@@ -15,7 +15,7 @@
 	readonly status?: number;
 	/** When the caller should retry, in monotonic ms, where this is known better than by the default of the refusal. */
 	readonly retryAt?: number;
-	/** For the log, and for the choice of a refusal: why the endpoint was chosen for an answered request, or why the request was given up. */
+	/** For the log: why the endpoint of an answered request was chosen, or why the request was given up. The refusal depends on it. */
 	readonly reason: string;
 	/** The id of the endpoint of the last attempt; empty where no attempt was made. */
 	readonly endpoint: string;
--- a/packages/entry/src/lib/request/run-attempt.ts
+++ b/packages/entry/src/lib/request/run-attempt.ts
@@ -95,7 +95,7 @@
 		return {type: 'lost', reason: 'broken', relayed};
 	}
 
-	// `beforeWrite` is called with the first event; the caller gets the head of a stream without events here.
+	// A stream without events never calls `beforeWrite`; the caller gets its head here.
 	writer.beginStream(response);
 	return {type: 'streamed', status: response.statusCode!, relayed};
 };
--- a/packages/entry/src/lib/request/run-request.ts
+++ b/packages/entry/src/lib/request/run-request.ts
@@ -152,6 +152,7 @@
 		return end;
 	};
 
+	// Finds why no further attempt may be made; `undefined` where one may.
 	const findEndReason = (): string | undefined => {
 		if (requestEnd.isOver()) {
 			return requestEnd.endedBy() ?? 'deadline';
--- a/packages/entry/src/lib/request/serve-request.ts
+++ b/packages/entry/src/lib/request/serve-request.ts
@@ -63,6 +63,8 @@
 /**
 Serves one request of a caller, from its head to its final response. In order: admission, the load of this host, the body, rights, and
 the runs at endpoints. The first of these that refuses the request ends it at once.
+
+A request whose caller leaves before the whole body was read gets neither a response nor a line in the log.
 */
 export const serveRequest = async (req: IncomingMessage, res: ServerResponse, host: HostContext): Promise<void> => {
 	const waitedMs = host.waitedMs(res);
--- a/packages/entry/src/test/unread-request.test.ts
+++ b/packages/entry/src/test/unread-request.test.ts
@@ -14,7 +14,7 @@
 /**
 Starts a host that reads and admits requests and forwards none. Whatever else a request asks of the host fails the test.
 
-@param waitedMs How long each request waited before its connection was accepted.
+@param waitedMs How long each request waited before its connection was accepted, in ms.
 @returns The host's address, and the deadlines for which it was asked whether a request may be forwarded, in monotonic ms.
 */
 const startRequestReader = async (t: {teardown: (end: () => void) => void}, waitedMs: number, kind: 'repeatable' | 'once') => {
