--- a/packages/routing/src/request-queue/empty-request-queue.ts
+++ b/packages/routing/src/request-queue/empty-request-queue.ts
@@ -1,10 +1,10 @@
 import type {QueueState} from './queue-state.js';
 
-/** A queue in which nobody waits. */
+/** A queue without requests. It assumes a start each 10 ms until starts have been measured. */
 export const emptyRequestQueue: QueueState = {
 	waiting: [],
-	served: new Map(),
+	servedByOrganisation: new Map(),
 	credit: {quick: 0, normal: 0, slow: 0},
 	msPerStart: 10,
-	lastStartAt: 0,
+	lastStartedAt: 0,
 };
