--- a/packages/entry/src/lib/choice/choice-request.ts
+++ b/packages/entry/src/lib/choice/choice-request.ts
@@ -1,14 +1,15 @@
 import type {PromptPart} from '../admission/prompt-part.js';
 
-/** What a choice of an endpoint depends on. */
+/** The part of a request that the choice of an endpoint depends on. */
 export type ChoiceRequest = {
+	/** The name of the service that the request goes to. */
 	readonly service: string;
-	/** The parts of its prompt, in order; none where it has no prompt. */
+	/** The parts of the request's prompt, in order; empty for a request without a prompt. */
 	readonly parts: readonly PromptPart[];
-	/** Endpoints that were tried already. */
+	/** Identifiers of the endpoints that the request has already been sent to. */
 	readonly tried: readonly string[];
-	/** Halls in which this request found an endpoint out of reach. */
+	/** Halls in which an earlier attempt of the request could not connect to an endpoint. */
 	readonly avoidedHalls: readonly string[];
-	/** Sets of regions; the endpoint has to be in one of each set. */
+	/** Sets of allowed regions; the endpoint's region must be in every set. */
 	readonly regions: ReadonlyArray<readonly string[]>;
 };
--- a/packages/entry/src/lib/choice/create-endpoint-chooser.ts
+++ b/packages/entry/src/lib/choice/create-endpoint-chooser.ts
@@ -11,20 +11,24 @@
 import {stepEvacuations} from './step-evacuations.js';
 
 type Options = {
-	/** The host's own. */
+	/** The hall of this host. */
 	readonly hall: string;
-	/** Whether another hall is out of reach. */
+	/** Whether this host cannot reach a hall now. */
 	readonly isLost: (hall: string) => boolean;
-	/** How endpoints of a service may be used while they warm up. `reopenedAt`: as in `WarmupRules`. */
+	/**
+	Returns how this host may use the endpoints of a service while they warm up; `undefined` where they are used like warm ones.
+	`reopenedAt` is as in `WarmupRules`.
+	*/
 	readonly warmupRules?: (service: string, reopenedAt: ReadonlyMap<string, number>) => WarmupRules | undefined;
-	/** Monotonic ms. */
+	/** The clock, in monotonic ms. */
 	readonly now: () => number;
 };
 
-// The deepest part that a prompt shares with others decides where it is read.
+// The last part of a prompt belongs to its request alone, so the one before is the longest prefix that the prompt shares with others.
+// Prompts with the same shared prefix prefer the same endpoint.
 const affinityKey = (parts: readonly PromptPart[]): string | undefined => parts.at(-2)?.id;
 
-/** Creates the task that knows the endpoints. */
+/** Creates the chooser of a host, which owns the host's table of endpoints. It knows no endpoint until the first `list`. */
 export const createEndpointChooser = ({hall, isLost, warmupRules, now}: Options): EndpointChooser => {
 	const cacheEstimate = createPrefixCacheEstimate();
 	const preferredEndpoints = createPreferredEndpoints();
@@ -35,7 +39,7 @@
 
 	const unreachableHalls = (): ReadonlySet<string> => new Set(listedHalls.filter(name => isLost(name)));
 
-	// Prompts are not to be read first where no request goes any more.
+	// An endpoint that leaves or is in an evacuated hall gets no new requests, so it must not be the preferred one of any prompt.
 	const updatePreferred = (): void => {
 		preferredEndpoints.list([...byId.values()].filter(({id}) => {
 			const {info} = table.get(id)!;
--- a/packages/entry/src/lib/choice/create-endpoint-listing.ts
+++ b/packages/entry/src/lib/choice/create-endpoint-listing.ts
@@ -3,23 +3,24 @@
 import type {FleetConfig} from '../../config/fleet-config.js';
 import {endpointsInUse} from './endpoints-in-use.js';
 
-/** What the platform lists, and what of it is in use. */
+/** The endpoints that the platform lists, and those of them that are in use (`endpointsInUse`). */
 type EndpointListing = {
-	/** Takes in a list of the platform. */
+	/** Replaces the listed endpoints by a new list of the platform. */
 	readonly list: (endpoints: readonly ListedEndpoint[]) => void;
-	/** Looks again at what is listed, by the configuration that came into force. */
+	/** Determines again which listed endpoints are in use, after a new configuration came into force. */
 	readonly review: () => void;
-	/** Whether a list ever came. */
+	/** Whether the platform has sent a list yet. */
 	readonly isKnown: () => boolean;
 };
 
 type Options = {
+	/** The configuration in force; `undefined` before the first one. */
 	readonly config: () => FleetConfig | undefined;
-	/** Called with the endpoints in use when these may have changed, and with how many listed ones are not. */
+	/** Called after each list, and when a configuration changed the endpoints in use, with these and the number of listed ones not in use. */
 	readonly onUsed: (used: readonly ListedEndpoint[], unused: number) => void;
 };
 
-/** Creates a listing that knows no endpoint. */
+/** Creates a listing without endpoints. */
 export const createEndpointListing = ({config, onUsed}: Options): EndpointListing => {
 	let listed: readonly ListedEndpoint[] | undefined;
 	let used: readonly ListedEndpoint[] = [];
--- a/packages/entry/src/lib/choice/create-preferred-endpoints.ts
+++ b/packages/entry/src/lib/choice/create-preferred-endpoints.ts
@@ -2,25 +2,28 @@
 import {LRUCache} from 'lru-cache';
 import type {ListedEndpoint} from '../../adapter/listed-endpoint.js';
 
-/** Shared parts of prompts whose preferred endpoint is remembered: a bound on memory. */
+/** The maximum number of shared prompt parts, counted for each service, whose preferred endpoint is remembered: a bound on memory. */
 const maxRememberedParts = 5000;
 
-/** Where all hosts send the prompts that share a part first, without asking each other. */
+/** The endpoints that all hosts prefer for prompts with the same shared part, without asking each other. */
 type PreferredEndpoints = {
-	/** Takes in the endpoints in use. */
+	/** Replaces the endpoints that can be preferred. */
 	readonly list: (endpoints: readonly ListedEndpoint[]) => void;
-	/** The life of the endpoint that a service's prompts with this shared part go to; `undefined` where the service has none that stays. */
+	/**
+	Returns the identifier of the endpoint, in its present incarnation, that is preferred for a service's prompts with a shared part;
+	`undefined` where the service has no endpoint, or only endpoints that leave.
+	*/
 	readonly endpointFor: (service: string, part: string) => string | undefined;
 };
 
 /**
-Creates a choice among no endpoints.
+Creates the preferred endpoints of a host; there are none before the first `list`.
 
-It goes by the names of endpoints and not by their lives: one that starts again gets the same prompts, and no other has to read
-what it read.
+The preferred endpoint follows from the names of endpoints and not from their identifiers, which change with each incarnation. So a
+restarted endpoint gets the same prompts as before, and no other endpoint has to prefill these anew.
 */
 export const createPreferredEndpoints = (): PreferredEndpoints => {
-	/** Lives of endpoints that stay, by service and name, as far as they were asked for since the last list. */
+	/** Identifiers of the endpoints that do not leave, by service and endpoint name. Filled for a service when it is first looked up after a list. */
 	const incarnationsByService = new Map<string, ReadonlyMap<string, string>>();
 	const preferred = new LRUCache<string, string>({max: maxRememberedParts});
 	let endpoints: readonly ListedEndpoint[] = [];
--- a/packages/entry/src/lib/choice/create-prefix-cache-estimate.ts
+++ b/packages/entry/src/lib/choice/create-prefix-cache-estimate.ts
@@ -3,13 +3,17 @@
 import type {PrefixCacheEstimate} from './prefix-cache-estimate.js';
 
 /**
-Parts remembered, over all endpoints. Those of endpoints that are gone give way in time. A bound on memory.
+The maximum number of prompt parts that are remembered, counted for each endpoint: a bound on memory. Parts of endpoints that have
+shut down are evicted as the least recently used ones.
 */
 const maxParts = 20_000;
 
 const sharedParts = (parts: readonly PromptPart[]): readonly PromptPart[] => parts.slice(0, -1);
 
-/** Creates an estimate from this host's own sends, and from the endpoint that all hosts prefer for a prompt without asking each other. */
+/**
+Creates an estimate. A shared part of a prompt counts as cached at the endpoints to which this host has sent a prompt with that part,
+and at the endpoint that all hosts prefer for the prompt.
+*/
 export const createPrefixCacheEstimate = (): PrefixCacheEstimate => {
 	const cachedParts = new LRUCache<string, true>({max: maxParts});
 	const keyOf = (endpoint: string, part: PromptPart): string => `${endpoint}\n${part.id}`;
--- a/packages/entry/src/lib/choice/create-warmup-rules.ts
+++ b/packages/entry/src/lib/choice/create-warmup-rules.ts
@@ -4,17 +4,24 @@
 import type {Service} from '../../config/service.js';
 import type {HostNames} from './host-names.js';
 
-/** Endpoints for which it is remembered whether this host sends there while they are cold: a bound on memory. */
+/** The maximum number of endpoints for which the result of `isColdSender` is remembered: a bound on memory. */
 const maxRememberedEndpoints = 5000;
 
 type Options = {
+	/** The bound on requests to an endpoint that warms up; `undefined` where the platform sets none. */
 	readonly bound: Bounds['warmup'];
+	/** The service of a name in the configuration in force. */
 	readonly serviceOf: (name: string) => Service | undefined;
-	/** `undefined` until the list of hosts is known. The same value until it changes. */
+	/** The names of the hosts, `undefined` until the list of hosts is known. It returns the same object until the list changes. */
 	readonly hosts: () => HostNames | undefined;
 };
 
-/** Creates what knows how this host may use endpoints that warm up; `undefined` for services that set no bound on it. */
+/**
+Creates a function that tells how this host may use the endpoints of a service while they warm up. The function returns `undefined`
+where the platform sets no bound on it or the service states no rate for it, so that cold endpoints are used like warm ones.
+
+Until the list of hosts is known, this host sends no requests to cold endpoints.
+*/
 export const createWarmupRules = ({bound, serviceOf, hosts}: Options): ((service: string, reopenedAt: ReadonlyMap<string, number>) => WarmupRules | undefined) => {
 	const isSenderByKey = new LRUCache<string, boolean>({max: maxRememberedEndpoints});
 	let knownHosts: HostNames | undefined;
--- a/packages/entry/src/lib/choice/endpoint-chooser.ts
+++ b/packages/entry/src/lib/choice/endpoint-chooser.ts
@@ -3,16 +3,21 @@
 import type {ChoiceRequest} from './choice-request.js';
 import type {ChosenEndpoint} from './chosen-endpoint.js';
 
-/** Chooses endpoints, and learns from what became of requests. */
+/** Chooses endpoints for requests, by what this host knows of the endpoints and of the outcomes of its requests there. */
 export type EndpointChooser = {
+	/** Replaces the endpoints that can be chosen. */
 	readonly list: (endpoints: readonly ListedEndpoint[]) => void;
-	/** Replaces the halls whose endpoints are to get nothing. */
+	/** Replaces the evacuated halls, whose endpoints get no requests. */
 	readonly evacuate: (halls: ReadonlySet<string>) => void;
+	/** Chooses an endpoint for an attempt of a request; `undefined` where none can serve it. */
 	readonly choose: (request: ChoiceRequest) => ChosenEndpoint | undefined;
-	/** Why no endpoint of a service is open now, where time or an order of the operators will open one; else `undefined`. */
+	/**
+	Tells why all endpoints of a service are excluded now, where the passing of time or an order of the operators will end that;
+	`undefined` otherwise.
+	*/
 	readonly exclusionOfAll: (request: Pick<ChoiceRequest, 'service' | 'regions'>) => EndpointExclusion | undefined;
-	/** Notes that a request is sent to an endpoint, which reads its prompt. */
+	/** Notes that a request is sent to an endpoint, which will have the parts of the request's prompt in its cache. */
 	readonly noteStarted: (endpoint: string, parts: ChoiceRequest['parts']) => void;
-	/** Takes in what was learnt of one endpoint. */
+	/** Applies an event of one endpoint, such as the outcome of a request there. */
 	readonly note: (event: Exclude<EndpointEvent, {type: 'configured' | 'started'}>) => void;
 };
--- a/packages/entry/src/lib/choice/evacuations.ts
+++ b/packages/entry/src/lib/choice/evacuations.ts
@@ -1,7 +1,7 @@
-/** The orders of the operators to evacuate halls, as this host knows them. */
+/** The operators' orders to evacuate halls, as this host knows them. */
 export type Evacuations = {
-	/** Halls whose endpoints are to get nothing. */
+	/** The evacuated halls, whose endpoints get no requests. */
 	readonly halls: ReadonlySet<string>;
-	/** When the order for a hall ended last, by hall, in monotonic ms. */
+	/** When the last order to evacuate a hall ended, by hall, in monotonic ms. */
 	readonly reopenedAt: ReadonlyMap<string, number>;
 };
--- a/packages/entry/src/lib/choice/host-names.ts
+++ b/packages/entry/src/lib/choice/host-names.ts
@@ -1,2 +1,2 @@
-/** This host, and all hosts that are listed with it, by addresses, which outlive their processes. */
+/** The addresses of this host (`host`) and of all listed hosts including it (`hosts`). Addresses stay the same when processes restart. */
 export type HostNames = {readonly host: string; readonly hosts: readonly string[]};
--- a/packages/entry/src/lib/choice/prefix-cache-estimate.ts
+++ b/packages/entry/src/lib/choice/prefix-cache-estimate.ts
@@ -1,14 +1,17 @@
 import type {PromptPart} from '../admission/prompt-part.js';
 
 /**
-An estimate of what is in the prefix caches of endpoints. It may be wrong; it only guides the choice.
+An estimate of which prompt parts the endpoints have in their prefix caches. It may be wrong, because it only guides the choice.
 
-`deckwheeld` has another (`daemon/src/lib/create-block-cache-estimate.ts`): there, engines report hashed blocks, late and
-with gaps. Here callers declare the parts of a prompt, and nothing is reported.
+`deckwheeld` has another estimate (`daemon/src/lib/placing/create-block-cache-estimate.ts`), from the hashed blocks that engines
+report, late and with gaps. On a platform, callers declare the parts of a prompt, and endpoints report nothing.
 */
 export type PrefixCacheEstimate = {
-	/** Notes that a prompt was sent to an endpoint. */
+	/** Notes that this host sent a prompt with these parts to an endpoint. */
 	readonly noteSent: (endpoint: string, parts: readonly PromptPart[]) => void;
-	/** Tokens of the prompt that the endpoint is estimated to hold. `preferred`: where every host sends such prompts first. */
+	/**
+	Returns the tokens of a prompt that an endpoint is estimated to have in its cache. `preferred` is the endpoint that all hosts prefer
+	for the prompt, if there is one.
+	*/
 	readonly cachedTokens: (endpoint: string, parts: readonly PromptPart[], preferred: string | undefined) => number;
 };
--- a/packages/entry/src/lib/choice/regions-of.ts
+++ b/packages/entry/src/lib/choice/regions-of.ts
@@ -1,5 +1,5 @@
 import type {AdmittedRequest} from '../admission/admitted-request.js';
 
-/** The sets of regions that bind a request: those of its route and those of its organisation. Pure. */
+/** Returns the sets of allowed regions for a request: that of its route and that of its organisation, as far as these limit regions. Pure. */
 export const regionsOf = ({route, organisation}: Pick<AdmittedRequest, 'route' | 'organisation'>): ReadonlyArray<readonly string[]> =>
 	[route.allowedRegions, organisation?.allowedRegions].filter(regions => regions !== undefined);
--- a/packages/entry/src/test/cold-endpoint.test.ts
+++ b/packages/entry/src/test/cold-endpoint.test.ts
@@ -1,9 +1,9 @@
 /**
-An endpoint that turned cold gets requests of several whole hosts at once.
+Guards against a cold endpoint that is overloaded by several hosts at once.
 
-Order of events: all endpoints of a service are cold, as after a loss of power; every host has requests for them. Cause of what could
-follow: each host knows what it sends itself, and none what the others send, so that what each may think little is too much together.
-Evidence: with the rule taken out of `findExclusion`, all 60 requests of six hosts reach the endpoint, which falls over at the 15th.
+It comes about when all endpoints of a service are cold, as after a loss of power, and every host has requests for them. Each host knows only
+its own requests, so a number that is small for one host is too much from all of them. Without the rule for cold endpoints in
+`findExclusion`, all 60 requests of six hosts reach the endpoint, which fails from the 15th on.
 */
 import test from 'ava';
 import type {ListedPeer} from '../adapter/listed-peer.js';
@@ -16,17 +16,17 @@
 const hostCount = 6;
 const requestsPerHost = 10;
 
-/** What the endpoint bears within a second while it is cold. */
+/** The number of requests that the endpoint can take within a second while it is cold. */
 const maxRequestsPerSecond = 14;
 
-/** More than the spacing of a host's requests at a cold endpoint, in ms. */
+/** More than the minimum interval between two requests of a host to a cold endpoint, in ms. */
 const beyondColdIntervalMs = 1500;
 
 const coldService = {
 	name: 's', maxConnections: 100, tokensPerEvent: 0, warmupMs: 30_000, warmupPerSecond: 6.6,
 };
 
-/** Falls over for good once it got more than it bears: all requests of the test come within a second. */
+/** Creates the handler of an endpoint that fails for good once it got more requests than it can take. All requests of the test come within a second. */
 const createColdResponder = (): Answer => {
 	let count = 0;
 	return (_req, res) => {
@@ -36,7 +36,7 @@
 	};
 };
 
-test('a cold endpoint gets from all hosts together what it bears, and the rest is refused at once', async t => {
+test('a cold endpoint gets no more requests from all hosts together than it can take, and the others are refused at once', async t => {
 	const peers = new Map<string, ListedPeer>();
 	const clock = createHandClock();
 	const endpoint = await startEndpoint('cold', createColdResponder());
@@ -62,7 +62,7 @@
 	const refused = responses.filter(({status}) => status === 503);
 	t.is(served.length, 4);
 	t.is(refused.length, responses.length - served.length);
-	t.is(endpoint.seen.length, 4, 'one of each of the hosts that send there');
+	t.is(endpoint.seen.length, 4, 'one request of each host that may send to the cold endpoint');
 	for (const {body} of refused) {
 		t.like(JSON.parse(body), {error: {code: 'endpoints_cold', ran: 'not_run'}});
 	}
--- a/packages/entry/src/test/create-endpoint-chooser.test.ts
+++ b/packages/entry/src/test/create-endpoint-chooser.test.ts
@@ -12,7 +12,7 @@
 	service: 's', parts, tried, avoidedHalls, regions: [],
 });
 
-test('endpoints of a hall that is out of reach are not chosen; those of one that seems so are a last resort', t => {
+test('endpoints of an unreachable hall are not chosen; those of a hall to which the request could not connect are a last resort', t => {
 	let unreachableHall = '';
 	const chooser = createEndpointChooser({hall: 'a', isLost: hall => hall === unreachableHall, now: () => 0});
 	chooser.list([endpoint('near', 'a'), endpoint('far', 'b')]);
@@ -29,22 +29,22 @@
 	t.is(chooser.choose(requestWith(prompt, ['near'], ['b']))?.endpoint.id, 'far');
 });
 
-const incarnationOf = (name: string, born: number) => ({...endpoint(name, 'a'), id: `${name}@${born}`, slots: 8});
+const incarnationOf = (name: string, incarnation: number) => ({...endpoint(name, 'a'), id: `${name}@${incarnation}`, slots: 8});
 const names = ['e1', 'e2', 'e3', 'e4'];
 
-test('a new life of an endpoint is believed to hold no prompt that the old one read', t => {
+test('a new incarnation of an endpoint does not count as having cached the prompts of the previous one', t => {
 	const chooser = createEndpointChooser({hall: 'a', isLost: () => false, now: () => 0});
 	chooser.list(names.map(name => incarnationOf(name, 1)));
 	const preferred = chooser.choose(requestWith(prompt, [], []))!.endpoint;
 	chooser.noteStarted(preferred.id, prompt);
-	// Read elsewhere once as well: that it is held there is known from this host's own send only.
+	// The prompt is sent to a second endpoint too. That this endpoint has it cached is known only from this host's own request.
 	const other = chooser.choose(requestWith(prompt, [preferred.id], []))!.endpoint;
 	chooser.noteStarted(other.id, prompt);
 	chooser.list(names.map(name => incarnationOf(name, name === other.instance ? 2 : 1)));
 	t.regex(chooser.choose(requestWith(prompt, [preferred.id], []))!.reason, / cached=0\//);
 });
 
-test('a new life of an endpoint stays the preferred one of its prompts', t => {
+test('a restarted endpoint is still the preferred one for its prompts', t => {
 	const chooser = createEndpointChooser({hall: 'a', isLost: () => false, now: () => 0});
 	chooser.list(names.map(name => incarnationOf(name, 1)));
 	const preferred = chooser.choose(requestWith(prompt, [], []))!.endpoint;
--- a/packages/entry/src/test/evacuated-halls.test.ts
+++ b/packages/entry/src/test/evacuated-halls.test.ts
@@ -1,11 +1,9 @@
 /**
-What was seen: 99 requests reached endpoints of a hall that the operators had ordered to be evacuated, from every host, until the order
-was taken back; endpoints there were cold after it, and all hosts went back to them at once.
+Guards against requests to endpoints of an evacuated hall, and against a rush of requests to its cold endpoints after the evacuation.
 
-Order of events: the order stands in the store; each host goes on choosing endpoints of that hall.
-
-Cause: no host read such orders, and no rule of the choice knew of them, of warm-ups or of regions. Evidence: with the
-rule taken out of `findExclusion`, 20 of 20 requests go to the evacuated hall, the nearer one.
+It comes about when the choice of an endpoint ignores the operators' orders, warm-ups or regions: 99 requests from all hosts once reached
+an evacuated hall until the order was withdrawn, and then all hosts used its cold endpoints again at once. Without the rule in
+`findExclusion`, 20 of 20 requests go to the evacuated hall, which is the nearer one.
 */
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import test from 'ava';
@@ -17,7 +15,7 @@
 
 const requestCount = 20;
 
-/** More than any spacing of requests at a cold endpoint, in ms. */
+/** More than the minimum interval between two requests of a host to a cold endpoint, in ms. */
 const beyondColdIntervalMs = 5000;
 
 const respondOk: Answer = (_req, res) => {
@@ -28,10 +26,10 @@
 	name: 's', maxConnections: 100, tokensPerEvent: 0, warmupMs: 3000, warmupPerSecond: 6.6,
 };
 
-type Scope = {teardown: (end: () => Promise<void>) => void};
+type TestScope = {teardown: (end: () => Promise<void>) => void};
 type ConfigChanges = Parameters<typeof makeConfig>[0];
 
-const startHostAndEndpoints = async (t: Scope, {near = respondOk, far = respondOk, config = {}}: {near?: Answer; far?: Answer; config?: ConfigChanges} = {}) => {
+const startHostAndEndpoints = async (t: TestScope, {near = respondOk, far = respondOk, config = {}}: {near?: Answer; far?: Answer; config?: ConfigChanges} = {}) => {
 	const clock = createHandClock();
 	const [nearEndpoint, farEndpoint] = await Promise.all([startEndpoint('near', near, 'hall-a'), startEndpoint('far', far, 'hall-b')]);
 	const host = await startHost(createMemoryRightsStore(), {now: clock.now, schedule: clock.schedule, warmup: {overage: 1.5, slack: 5}});
@@ -60,7 +58,7 @@
 
 const requestsSeenBy = ({seen}: TestEndpoint): number => seen.length;
 
-test('a hall that is evacuated gets no request; once the order is taken back it gets them again', async t => {
+test('an evacuated hall gets no request until the order is withdrawn', async t => {
 	const {host, near, far, sendRequests} = await startHostAndEndpoints(t);
 	host.entry.evacuateHalls(new Set(['hall-a']));
 	t.deepEqual(await sendRequests(), new Set([200]));
@@ -70,7 +68,7 @@
 	t.deepEqual([requestsSeenBy(near), requestsSeenBy(far)], [requestCount, requestCount]);
 });
 
-test('what runs in a hall that is evacuated ends whole', async t => {
+test('a request in flight in a hall is not cut off when the hall is evacuated', async t => {
 	const {host, near} = await startHostAndEndpoints(t, {
 		near(_req, res) {
 			res.write('the first ');
@@ -85,7 +83,7 @@
 	t.is(requestsSeenBy(near), 1);
 });
 
-test('where all halls are evacuated, callers are refused at once, with a code of its own and a time to come back', async t => {
+test('when all halls are evacuated, requests are refused at once with `endpoints_evacuated` and a Retry-After', async t => {
 	const {host, near, far} = await startHostAndEndpoints(t);
 	host.entry.evacuateHalls(new Set(['hall-a', 'hall-b']));
 	const {status, headers, body} = await callHost(host.callers);
@@ -95,14 +93,14 @@
 	t.is(requestsSeenBy(near) + requestsSeenBy(far), 0);
 });
 
-test('an order for a hall that nobody knows changes nothing', async t => {
+test('an order to evacuate an unknown hall changes nothing', async t => {
 	const {host, near, sendRequests} = await startHostAndEndpoints(t);
 	host.entry.evacuateHalls(new Set(['hall-z']));
 	t.deepEqual(await sendRequests(), new Set([200]));
 	t.is(requestsSeenBy(near), requestCount);
 });
 
-test('endpoints of a hall that is reopened are taken to be cold for a while', async t => {
+test('endpoints of a reopened hall count as cold for the duration of their warm-up', async t => {
 	const {host, clock, near, far, sendRequests} = await startHostAndEndpoints(t, {config: {services: new Map([['s', warmingService]])}});
 	host.entry.evacuateHalls(new Set(['hall-a']));
 	clock.advance(beyondColdIntervalMs);
@@ -111,10 +109,10 @@
 	t.deepEqual([requestsSeenBy(near), requestsSeenBy(far)], [0, requestCount]);
 	clock.advance(warmingService.warmupMs);
 	await sendRequests();
-	t.is(requestsSeenBy(near), requestCount, 'warm by now');
+	t.is(requestsSeenBy(near), requestCount, 'the near endpoint counts as warm again');
 });
 
-test('a host that operators may order to evacuate halls sends nothing before it knows their orders', async t => {
+test('a host that can get evacuation orders is not ready and forwards no request before it knows them', async t => {
 	const endpoint = await startEndpoint('near', respondOk);
 	const host = await startHost(createMemoryRightsStore(), {hasEvacuations: true});
 	t.teardown(async () => {
@@ -138,9 +136,9 @@
 	t.true(await isReady());
 });
 
-test('where all endpoints are cold and others send there, callers are told at once when they are warm', async t => {
+test('when this host may send to none of the cold endpoints, requests are refused at once with a Retry-After until the first is warm', async t => {
 	const {host, clock, near, far} = await startHostAndEndpoints(t, {config: {services: new Map([['s', warmingService]])}});
-	// The list of hosts is not known yet, so this host sends to no cold endpoint.
+	// This host does not know the list of hosts yet, so it sends to no cold endpoint.
 	const coldUntil = clock.now() + 2000;
 	host.entry.listEndpoints([{...near.listed, coldUntil}, {...far.listed, coldUntil: coldUntil + 500}]);
 	const {status, headers, body} = await callHost(host.callers);
@@ -150,7 +148,7 @@
 	t.is(requestsSeenBy(near) + requestsSeenBy(far), 0);
 });
 
-test('a route and an organisation keep to their regions', async t => {
+test('requests go only to regions that both their route and their organisation allow', async t => {
 	const {host, near, far, sendRequests} = await startHostAndEndpoints(t, {config: {routes: [makeRoute({allowedRegions: ['north', 'south']})]}});
 	host.entry.listEndpoints([{...near.listed, region: 'west'}, {...far.listed, region: 'south'}]);
 	t.deepEqual(await sendRequests(), new Set([200]));
--- a/packages/routing/src/request-limits/step-request-limit.ts
+++ b/packages/routing/src/request-limits/step-request-limit.ts
@@ -3,7 +3,7 @@
 /** The rate from which a limit counts as none, in requests a second, because no endpoint reaches it. */
 const unlimitedFromPerSecond = 1000;
 
-const withoutNonBinding = (limit: RequestLimit): RequestLimit =>
+const clearIfUnlimited = (limit: RequestLimit): RequestLimit =>
 	limit.perSecond !== undefined && limit.perSecond >= unlimitedFromPerSecond ? {...limit, perSecond: undefined} : limit;
 
 const rateOf = ({perSecond = Number.POSITIVE_INFINITY}: RequestLimit): number => perSecond;
@@ -18,7 +18,7 @@
 @param received The limit that the response states.
 */
 export const stepRequestLimit = (known: RequestLimit | undefined, received: RequestLimit): RequestLimit => {
-	const next = withoutNonBinding(received);
+	const next = clearIfUnlimited(received);
 	if (!known || next.askedAt > known.readAt) {
 		return next;
 	}
--- a/packages/routing/src/test/cold-endpoints.test.ts
+++ b/packages/routing/src/test/cold-endpoints.test.ts
@@ -1,9 +1,10 @@
 /**
-A model of hosts that send to an endpoint while it is cold, each by itself and as fast as the rule lets it. All hosts together must not
-send more within any second than the endpoint bears, and what the rule lets through is sent.
+Guards against a cold endpoint that gets more requests from all hosts together than it can take within a second. It comes about when
+hosts that cannot coordinate each send what would be allowed for one of them.
 
-Hosts' lists of hosts differ: each lacks up to ten hosts that are up, and holds some that ended. They restart at any time and forget
-what they sent. New connections take up to a quarter of a second. No host hears of another, so cuts between halls change nothing.
+The model lets each host send to one cold endpoint as fast as `isColdSender` and `findExclusion` allow. The hosts' lists of hosts
+differ: each lacks up to ten running hosts and contains some that have shut down. Hosts restart at any time and forget what they sent.
+New connections take up to 250 ms. No host learns anything from another, so partitions between halls change nothing.
 */
 import {rankByRendezvous} from '@deckwheel/core';
 import test from 'ava';
@@ -23,7 +24,7 @@
 	readonly hostCount: number;
 	readonly endedHostCount: number;
 	readonly perSecond: number;
-	/** Whether the lists lack the hosts that rank first, or others. */
+	/** Whether the lists of hosts lack the hosts that rank first for the endpoint, or random ones. */
 	readonly isMissingFirst: boolean;
 	readonly seed: number;
 	readonly hasRestarts: boolean;
@@ -38,7 +39,7 @@
 	hasRestarts: fc.boolean(),
 });
 
-/** Numbers from 0 up to 1 that follow from a seed. */
+/** Creates a generator of pseudo-random numbers from 0 up to 1 from a seed. */
 const createRandom = (seed: number): (() => number) => {
 	const modulus = (2 ** 31) - 1;
 	let state = 1 + (Math.abs(seed) % (modulus - 1));
@@ -55,7 +56,7 @@
 	}],
 }, now);
 
-/** When requests of one host arrive, in ms. */
+/** Returns when the requests of one host arrive at the endpoint, in ms. */
 const simulateHost = (isSender: boolean, hasRestarts: boolean, random: () => number): readonly number[] => {
 	const arrivals: number[] = [];
 	const request = {target: 's', hall: 'hall-a', warmup: {warmupMs: 0, reopenedAt: new Map<string, number>(), isSender: () => isSender}};
@@ -93,12 +94,12 @@
 const maxWithinSecond = (arrivals: readonly number[]): number =>
 	Math.max(0, ...arrivals.map((first, index) => arrivals.slice(index).filter(at => at - first <= 1000).length));
 
-test('no second holds more requests than a cold endpoint bears, whatever the hosts know of each other', t => {
+test('a cold endpoint gets no more requests within a second than it can take, whichever hosts the lists of hosts lack', t => {
 	fc.assert(fc.property(scenarios, scenario => maxWithinSecond(simulate(scenario)) <= scenario.perSecond), {numRuns: 100});
 	t.pass();
 });
 
-test('what a cold endpoint bears is used: hosts whose lists agree send about a request a second each, four of them at 14.9 a second', t => {
+test('with equal lists of hosts and a limit of 14.9 requests a second, four hosts send to a cold endpoint, each about once a second', t => {
 	const hosts = Array.from({length: 74}, (_, index) => `10.0.0.${index}:1`);
 	const senders = hosts.filter(host => isColdSender(endpoint, {host, hosts, perSecond: 14.9}));
 	t.is(senders.length, 4);
@@ -106,7 +107,7 @@
 	t.is(sent, 4, 'within five seconds');
 });
 
-test('an endpoint that bears no more than lists may differ by gets nothing while it is cold', t => {
+test('a cold endpoint that can take no more requests a second than lists may lack hosts gets no requests', t => {
 	const hosts = Array.from({length: 7}, (_, index) => `10.0.0.${index}:1`);
 	t.false(hosts.some(host => isColdSender(endpoint, {host, hosts, perSecond: 10.9})));
 });
--- a/packages/routing/src/test/find-exclusion.test.ts
+++ b/packages/routing/src/test/find-exclusion.test.ts
@@ -25,7 +25,7 @@
 
 const exclusionAt = (table: EndpointTable, changes: Partial<EndpointRequest>, now: number) => findExclusion(table.get('a')!, {...request, ...changes}, now);
 
-test('each reason for which an endpoint gets no request is told', t => {
+test('each exclusion of an endpoint has its own reason', t => {
 	const failed = Array.from({length: 3}, () => [{type: 'started', endpoint: 'a'}, {type: 'failed', endpoint: 'a'}] as const).flat();
 	const warmup = {warmupMs: 500, reopenedAt: new Map<string, number>(), isSender: () => false};
 	t.is(exclusionAt(tableOf(), {}, 0), undefined);
@@ -39,46 +39,46 @@
 	t.deepEqual(exclusionAt(tableOf({coldUntil: 300}), {warmup}, 0), {reason: 'cold', until: 300});
 });
 
-test('an evacuation holds for the own hall too, a loss of reach does not', t => {
+test('an evacuation also excludes endpoints of the host\'s own hall; an unreachable hall never means the own one', t => {
 	t.is(exclusionAt(tableOf(), {hall: 'hall-a', evacuatedHalls: new Set(['hall-a'])}, 0)?.reason, 'evacuated');
 	t.is(exclusionAt(tableOf(), {hall: 'hall-a', unreachableHalls: new Set(['hall-a'])}, 0), undefined);
 });
 
-test('the region has to be in each set that binds the request; one that is not known is in none', t => {
+test('an endpoint is excluded unless its region is in every set of allowed regions; an unknown region is in no set', t => {
 	t.is(exclusionAt(tableOf(), {regions: [['north', 'south'], ['north']]}, 0), undefined);
 	t.is(exclusionAt(tableOf(), {regions: [['north', 'south'], ['south']]}, 0)?.reason, 'other_region');
 	t.is(exclusionAt(tableOf({region: undefined}), {regions: [['north']]}, 0)?.reason, 'other_region');
 	t.is(exclusionAt(tableOf({region: undefined}), {regions: []}, 0), undefined);
 });
 
-test('a cold endpoint gets one request of a sender within the spacing, none of others, and any once it is warm', t => {
+test('a cold endpoint gets one request per interval from a sender and none from other hosts; a warm one gets any', t => {
 	const warmup = {warmupMs: 500, reopenedAt: new Map<string, number>(), isSender: () => true};
 	const cold = tableOf({coldUntil: 10_000});
-	t.deepEqual(exclusionAt(cold, {warmup}, 0), {reason: 'cold', until: coldRequestIntervalMs}, 'a host that just started may have sent in its last life');
+	t.deepEqual(exclusionAt(cold, {warmup}, 0), {reason: 'cold', until: coldRequestIntervalMs}, 'a host that just started may have sent a request in its previous incarnation');
 	t.is(exclusionAt(cold, {warmup}, coldRequestIntervalMs), undefined);
 	const sent = stepEndpoints(cold, {type: 'started', endpoint: 'a'}, 2000);
 	t.deepEqual(exclusionAt(sent, {warmup}, 2000), {reason: 'cold', until: 2000 + coldRequestIntervalMs});
 	t.is(exclusionAt(sent, {warmup}, 2000 + coldRequestIntervalMs), undefined);
 	t.is(exclusionAt(sent, {warmup: {...warmup, isSender: () => false}}, 10_000), undefined);
-	t.is(exclusionAt(sent, {}, 2000), undefined, 'without a bound on it, a cold endpoint is used as any other');
+	t.is(exclusionAt(sent, {}, 2000), undefined, 'without warm-up rules, a cold endpoint is used like a warm one');
 });
 
-test('an endpoint of a hall that was reopened is cold for the time of a warm-up, whatever is listed', t => {
+test('an endpoint of a reopened hall is cold for the duration of a warm-up, even if it is listed as warm', t => {
 	const warmup = {warmupMs: 500, reopenedAt: new Map([['hall-a', 1000]]), isSender: () => false};
 	t.deepEqual(exclusionAt(tableOf(), {warmup}, 1499), {reason: 'cold', until: 1500});
 	t.is(exclusionAt(tableOf(), {warmup}, 1500), undefined);
 });
 
-test('where no endpoint is open, the one that opens first is told, and an evacuation where waiting is of no use', t => {
-	const two = stepEndpoints(tableOf({}, [{type: 'rest_asked', endpoint: 'a', until: 400}]), {
+test('when all endpoints are excluded, the exclusion that ends first is returned, or an evacuation where none has a known end', t => {
+	const twoEndpoints = stepEndpoints(tableOf({}, [{type: 'rest_asked', endpoint: 'a', until: 400}]), {
 		type: 'configured', endpoints: [info, {
 			...info, id: 'b', hall: 'hall-b', coldUntil: 300,
 		}],
 	}, 0);
 	const warmup = {warmupMs: 500, reopenedAt: new Map<string, number>(), isSender: () => false};
-	t.deepEqual(exclusionOfAll(two, {...request, warmup}, 0), {reason: 'cold', until: 300});
-	t.is(exclusionOfAll(two, request, 0), undefined, 'one is open');
-	t.deepEqual(exclusionOfAll(two, {...request, evacuatedHalls: new Set(['hall-b'])}, 0), {reason: 'resting', until: 400});
-	t.deepEqual(exclusionOfAll(two, {...request, evacuatedHalls: new Set(['hall-a', 'hall-b'])}, 0), {reason: 'evacuated'});
-	t.is(exclusionOfAll(two, {...request, target: 'none'}, 0), undefined);
+	t.deepEqual(exclusionOfAll(twoEndpoints, {...request, warmup}, 0), {reason: 'cold', until: 300});
+	t.is(exclusionOfAll(twoEndpoints, request, 0), undefined, 'one endpoint is not excluded');
+	t.deepEqual(exclusionOfAll(twoEndpoints, {...request, evacuatedHalls: new Set(['hall-b'])}, 0), {reason: 'resting', until: 400});
+	t.deepEqual(exclusionOfAll(twoEndpoints, {...request, evacuatedHalls: new Set(['hall-a', 'hall-b'])}, 0), {reason: 'evacuated'});
+	t.is(exclusionOfAll(twoEndpoints, {...request, target: 'none'}, 0), undefined);
 });
--- a/packages/routing/src/test/step-endpoints.test.ts
+++ b/packages/routing/src/test/step-endpoints.test.ts
@@ -24,11 +24,11 @@
 	return next;
 };
 
-const two = applyEvents(new Map(), [{type: 'configured', endpoints: [info('a'), info('b')]}]);
-const fail: readonly EndpointEvent[] = [{type: 'started', endpoint: 'a'}, {type: 'failed', endpoint: 'a'}];
+const twoEndpoints = applyEvents(new Map(), [{type: 'configured', endpoints: [info('a'), info('b')]}]);
+const failureOfA: readonly EndpointEvent[] = [{type: 'started', endpoint: 'a'}, {type: 'failed', endpoint: 'a'}];
 
-test('an endpoint that fails three times in a row is left alone, then probed by one request', t => {
-	const failed = applyEvents(two, [...fail, ...fail, ...fail]);
+test('an endpoint that fails three times in a row is ejected, then probed by one request at a time', t => {
+	const failed = applyEvents(twoEndpoints, [...failureOfA, ...failureOfA, ...failureOfA]);
 	t.is(chooseEndpoint(failed, request, 500, scoreByCost)?.endpoint, 'b');
 	const later = 2000;
 	t.is(chooseEndpoint(failed, {...request, tried: ['b']}, later, scoreByCost)?.endpoint, 'a');
@@ -36,82 +36,83 @@
 	t.is(chooseEndpoint(probed, {...request, tried: ['b']}, later, scoreByCost), undefined);
 });
 
-test('a leaving or tried endpoint gets nothing new', t => {
-	const leaving = applyEvents(two, [{type: 'configured', endpoints: [info('a', {isLeaving: true}), info('b')]}]);
+test('an endpoint that leaves or was already tried gets no new request', t => {
+	const leaving = applyEvents(twoEndpoints, [{type: 'configured', endpoints: [info('a', {isLeaving: true}), info('b')]}]);
 	t.is(chooseEndpoint(leaving, request, 0, scoreByCost)?.endpoint, 'b');
 	t.is(chooseEndpoint(leaving, {...request, tried: ['b']}, 0, scoreByCost), undefined);
 });
 
-test('the less loaded endpoint is chosen, and a cached prompt weighs against load', t => {
-	const busy = applyEvents(two, [{type: 'started', endpoint: 'a'}]);
+test('the endpoint with less load is chosen, unless another one has a long prompt cached', t => {
+	const busy = applyEvents(twoEndpoints, [{type: 'started', endpoint: 'a'}]);
 	t.is(chooseEndpoint(busy, request, 0, scoreByCost)?.endpoint, 'b');
 	const long = {...request, promptTokens: 1000, cachedTokens: (endpoint: string) => endpoint === 'a' ? 1000 : 0};
 	t.is(chooseEndpoint(busy, long, 0, scoreByCost)?.endpoint, 'a');
 });
 
-test('a report of others\' load counts, and this host\'s own requests are not counted twice', t => {
-	const reported = applyEvents(two, [{type: 'started', endpoint: 'a'}, {type: 'reported', endpoint: 'a', total: 1}]);
+test('a load report does not count this host\'s own requests twice', t => {
+	const reported = applyEvents(twoEndpoints, [{type: 'started', endpoint: 'a'}, {type: 'reported', endpoint: 'a', total: 1}]);
 	t.regex(chooseEndpoint(reported, {...request, tried: ['b']}, 0, scoreByCost)!.reason, /load=1\/2/);
 });
 
-// The entry of an endpoint may lapse while the store is away. Its open requests were forgotten with it and, once it was listed
-// again, each of their ends was taken off a count of 0: the endpoint looked emptier than any other from then on.
-test('what is open at an endpoint whose entry lapsed counts when it is listed again, and when it ends', t => {
-	const open = applyEvents(two, [{type: 'started', endpoint: 'a'}, {type: 'started', endpoint: 'a'}]);
+// Guards against a count of requests in flight below 0. An endpoint's entry may expire while the store is unavailable. If its requests in
+// flight were forgotten with it, each of their ends would be subtracted from 0 once the endpoint is listed again, and the endpoint would
+// look less loaded than any other from then on.
+test('requests in flight at an endpoint whose entry expired are still counted when it is listed again', t => {
+	const open = applyEvents(twoEndpoints, [{type: 'started', endpoint: 'a'}, {type: 'started', endpoint: 'a'}]);
 	const lapsed = applyEvents(open, [{type: 'configured', endpoints: [info('b')]}]);
-	t.is(chooseEndpoint(lapsed, {...request, tried: ['b']}, 0, scoreByCost), undefined, 'it is not chosen meanwhile');
-	const back = applyEvents(lapsed, [{type: 'abandoned', endpoint: 'a'}, {type: 'configured', endpoints: [info('a'), info('b')]}]);
-	t.is(back.get('a')!.inFlight, 1);
-	t.is(applyEvents(back, [{type: 'abandoned', endpoint: 'a'}]).get('a')!.inFlight, 0);
+	t.is(chooseEndpoint(lapsed, {...request, tried: ['b']}, 0, scoreByCost), undefined, 'the unlisted endpoint is not chosen');
+	const relisted = applyEvents(lapsed, [{type: 'abandoned', endpoint: 'a'}, {type: 'configured', endpoints: [info('a'), info('b')]}]);
+	t.is(relisted.get('a')!.inFlight, 1);
+	t.is(applyEvents(relisted, [{type: 'abandoned', endpoint: 'a'}]).get('a')!.inFlight, 0);
 });
 
-test('an endpoint that is no longer listed is forgotten with the last request that is open there', t => {
-	const open = applyEvents(two, [{type: 'started', endpoint: 'a'}, {type: 'configured', endpoints: [info('b')]}]);
+test('an unlisted endpoint is removed when its last request in flight ends', t => {
+	const open = applyEvents(twoEndpoints, [{type: 'started', endpoint: 'a'}, {type: 'configured', endpoints: [info('b')]}]);
 	t.deepEqual([...open.keys()].sort(), ['a', 'b']);
 	t.deepEqual([...applyEvents(open, [{type: 'failed', endpoint: 'a'}]).keys()], ['b']);
 });
 
-test('a new life begins with nothing of the one before, and what comes late of that changes nothing of it', t => {
-	const failed = applyEvents(two, [...fail, ...fail, ...fail, {type: 'started', endpoint: 'a'}]);
+test('a new incarnation of an endpoint begins with a new state, which late events of the previous one do not change', t => {
+	const failed = applyEvents(twoEndpoints, [...failureOfA, ...failureOfA, ...failureOfA, {type: 'started', endpoint: 'a'}]);
 	const restarted = applyEvents(failed, [{type: 'configured', endpoints: [info('a@2'), info('b')]}]);
 	const fresh = restarted.get('a@2')!;
 	t.deepEqual([fresh.inFlight, fresh.startedCount, fresh.failures, fresh.ejectedUntil], [0, 0, 0, 0]);
 	t.is(applyEvents(restarted, [{type: 'failed', endpoint: 'a'}]).get('a@2'), fresh);
 });
 
-test('an endpoint at whose address another process answers is left alone at once', t => {
-	const gone = applyEvents(two, [{type: 'started', endpoint: 'a'}, {type: 'gone', endpoint: 'a'}]);
+test('an endpoint is ejected at once when a different process responds at its address', t => {
+	const gone = applyEvents(twoEndpoints, [{type: 'started', endpoint: 'a'}, {type: 'gone', endpoint: 'a'}]);
 	t.is(chooseEndpoint(gone, {...request, tried: ['b']}, 500, scoreByCost), undefined);
 });
 
-test('an endpoint that says that it leaves gets nothing new, whatever is listed, and though its entry lapses meanwhile', t => {
-	const announced = applyEvents(two, [{type: 'leaving', endpoint: 'a'}]);
+test('an endpoint that announced that it leaves gets no new request, even if a later list has it as ready', t => {
+	const announced = applyEvents(twoEndpoints, [{type: 'leaving', endpoint: 'a'}]);
 	const lists: readonly EndpointEvent[] = [{type: 'configured', endpoints: [info('b')]}, {type: 'configured', endpoints: [info('a'), info('b')]}];
 	t.is(chooseEndpoint(announced, {...request, tried: ['b']}, 0, scoreByCost), undefined);
 	t.is(chooseEndpoint(applyEvents(announced, lists), {...request, tried: ['b']}, 0, scoreByCost), undefined);
 	t.is(chooseEndpoint(applyEvents(announced, [{type: 'configured', endpoints: [info('a in its next life')]}]), request, 0, scoreByCost)?.endpoint, 'a in its next life');
 });
 
-test('its word is forgotten some time after its entry went', t => {
-	const gone = applyEvents(two, [{type: 'leaving', endpoint: 'a'}, {type: 'configured', endpoints: [info('b')]}]);
+test('an announcement to leave is forgotten ten minutes after the endpoint was last listed', t => {
+	const gone = applyEvents(twoEndpoints, [{type: 'leaving', endpoint: 'a'}, {type: 'configured', endpoints: [info('b')]}]);
 	t.true(gone.has('a'));
 	t.false(applyEvents(gone, [{type: 'configured', endpoints: [info('b')]}], 600_000).has('a'));
 });
 
-test('an endpoint that asked for rest gets nothing until its end; where all did, the first end is known', t => {
-	const oneResting = applyEvents(two, [{type: 'rest_asked', endpoint: 'a', until: 500}]);
+test('an endpoint gets no request during its backoff; when all endpoints are in backoff, the first end is returned', t => {
+	const oneResting = applyEvents(twoEndpoints, [{type: 'rest_asked', endpoint: 'a', until: 500}]);
 	t.is(chooseEndpoint(oneResting, request, 499, scoreByCost)?.endpoint, 'b');
 	t.is(chooseEndpoint(oneResting, {...request, tried: ['b']}, 499, scoreByCost), undefined);
 	t.is(chooseEndpoint(oneResting, {...request, tried: ['b']}, 500, scoreByCost)?.endpoint, 'a');
 	t.is(exclusionOfAll(oneResting, request, 0), undefined);
 	const bothResting = applyEvents(oneResting, [{type: 'rest_asked', endpoint: 'b', until: 700}, {type: 'rest_asked', endpoint: 'a', until: 300}]);
-	t.deepEqual(exclusionOfAll(bothResting, request, 0), {reason: 'resting', until: 500}, 'a later word does not shorten what was asked for');
+	t.deepEqual(exclusionOfAll(bothResting, request, 0), {reason: 'resting', until: 500}, 'a later and shorter backoff does not shorten the one before');
 	t.is(exclusionOfAll(bothResting, request, 500), undefined);
 	t.is(exclusionOfAll(new Map(), request, 0), undefined);
 });
 
-test('an entry that lapses during a rest does not end it', t => {
-	const back = applyEvents(two, [
+test('a backoff does not end when the endpoint\'s entry expires and is listed again', t => {
+	const back = applyEvents(twoEndpoints, [
 		{type: 'rest_asked', endpoint: 'a', until: 500}, {type: 'configured', endpoints: []}, {type: 'configured', endpoints: [info('a')]},
 	]);
 	t.is(chooseEndpoint(back, request, 499, scoreByCost), undefined);
--- a/packages/routing/src/test/step-retry-window.test.ts
+++ b/packages/routing/src/test/step-retry-window.test.ts
@@ -4,7 +4,7 @@
 
 const bounds = {retryRatio: 0.2, retryWindowMs: 10_000};
 
-/** Plays requests and attempts at repeats, at even times, and tells the times of the repeats that were allowed. */
+/** Applies requests and wanted retries in order, and returns the times of the retries that were allowed, in ms. */
 const allowedRetryTimes = (steps: ReadonlyArray<{at: number; event: 'request' | 'repeat'}>): readonly number[] => {
 	let window: RetryWindow | undefined;
 	const retryTimes: number[] = [];
@@ -19,7 +19,7 @@
 	return retryTimes;
 };
 
-test('no sliding window holds more repeats than the ratio of its requests, or those of the window before it', t => {
+test('no sliding window holds more retries than the ratio allows for the requests of one window', t => {
 	const steps = Array.from({length: 4000}, (_, index) => [
 		{at: index * 20, event: 'request' as const}, {at: index * 20, event: 'repeat' as const},
 	]).flat();
@@ -27,10 +27,10 @@
 	t.true(retryTimes.length > 0);
 	for (const start of retryTimes) {
 		const inWindow = retryTimes.filter(at => at >= start && at < start + bounds.retryWindowMs).length;
-		t.true(inWindow <= 100, `${inWindow} repeats from ${start}`);
+		t.true(inWindow <= 100, `${inWindow} retries from ${start}`);
 	}
 });
 
-test('a service without requests gets no repeats', t => {
+test('a service without requests gets no retries', t => {
 	t.deepEqual(allowedRetryTimes([{at: 0, event: 'repeat'}, {at: 50_000, event: 'repeat'}]), []);
 });
