--- a/packages/entry/src/lib/choice/create-preferred-endpoints.ts
+++ b/packages/entry/src/lib/choice/create-preferred-endpoints.ts
@@ -2,7 +2,7 @@
 import {LRUCache} from 'lru-cache';
 import type {ListedEndpoint} from '../../adapter/listed-endpoint.js';
 
-/** The maximum number of shared prompt parts, counted for each service, whose preferred endpoint is remembered: a bound on memory. */
+/** The maximum number of shared prompt parts, over all services, whose preferred endpoint is remembered: a bound on memory. */
 const maxRememberedParts = 5000;
 
 /** The endpoints that all hosts prefer for prompts with the same shared part, without asking each other. */
--- a/packages/entry/src/lib/choice/create-prefix-cache-estimate.ts
+++ b/packages/entry/src/lib/choice/create-prefix-cache-estimate.ts
@@ -3,8 +3,8 @@
 import type {PrefixCacheEstimate} from './prefix-cache-estimate.js';
 
 /**
-The maximum number of prompt parts that are remembered, counted for each endpoint: a bound on memory. Parts of endpoints that have
-shut down are evicted as the least recently used ones.
+The maximum number of prompt parts that are remembered, over all endpoints together: a bound on memory. Parts of endpoints that have
+shut down are evicted in time, as the least recently used ones.
 */
 const maxParts = 20_000;
 
--- a/packages/entry/src/lib/choice/create-warmup-rules.ts
+++ b/packages/entry/src/lib/choice/create-warmup-rules.ts
@@ -8,7 +8,7 @@
 const maxRememberedEndpoints = 5000;
 
 type Options = {
-	/** The bound on requests to an endpoint that warms up; `undefined` where the platform sets none. */
+	/** The bound on requests to an endpoint that warms up; `undefined` where no bound is set. */
 	readonly bound: Bounds['warmup'];
 	/** The service of a name in the configuration in force. */
 	readonly serviceOf: (name: string) => Service | undefined;
@@ -18,7 +18,7 @@
 
 /**
 Creates a function that tells how this host may use the endpoints of a service while they warm up. The function returns `undefined`
-where the platform sets no bound on it or the service states no rate for it, so that cold endpoints are used like warm ones.
+where no bound is set or the service states no rate for the warm-up. Cold endpoints are then used like warm ones.
 
 Until the list of hosts is known, this host sends no requests to cold endpoints.
 */
--- a/packages/routing/src/endpoints/step-endpoints.ts
+++ b/packages/routing/src/endpoints/step-endpoints.ts
@@ -4,7 +4,7 @@
 import type {EndpointState} from './endpoint-state.js';
 import type {EndpointTable} from './endpoint-table.js';
 
-/** Consecutive failures after which an endpoint is ejected. Fewer would eject healthy endpoints by chance; with more, more requests fail first. */
+/** Consecutive failures after which an endpoint is ejected. A lower number would eject healthy endpoints by chance; a higher one would let more requests fail. */
 const failuresBeforeEjection = 3;
 
 /** The duration of a first ejection, in ms. It doubles with each further failure. */
@@ -70,7 +70,8 @@
 const isRetained = ({isListed, inFlight, hasAnnouncedLeaving, listedAt, backoffUntil}: EndpointState, now: number): boolean =>
 	isListed || inFlight > 0 || backoffUntil > now || (hasAnnouncedLeaving && now - listedAt < leavingRetentionMs);
 
-// When a list lacks an endpoint, requests may still be in flight there. Their ends are counted, and the endpoint may be listed again before them.
+// When a list lacks an endpoint, requests may still be in flight there. The state is retained until they end, because the endpoint may be
+// listed again before that.
 const afterConfigured = (table: EndpointTable, endpoints: readonly EndpointInfo[], now: number): EndpointTable => {
 	const next = new Map(endpoints.map(info => [info.id, asListed(table.get(info.id) ?? newState(info, now), info, now)]));
 	for (const [id, state] of table) {
--- a/packages/routing/src/request-limits/step-request-limit.ts
+++ b/packages/routing/src/request-limits/step-request-limit.ts
@@ -1,6 +1,6 @@
 import type {RequestLimit} from './request-limit.js';
 
-/** The rate from which a limit counts as none, in requests a second, because no endpoint reaches it. */
+/** The rate from which a limit counts as none, in requests a second, because no endpoint ever gets that many. */
 const unlimitedFromPerSecond = 1000;
 
 const clearIfUnlimited = (limit: RequestLimit): RequestLimit =>
--- a/packages/routing/src/request-queue/dequeue-request.ts
+++ b/packages/routing/src/request-queue/dequeue-request.ts
@@ -32,8 +32,8 @@
 	ready.toSorted((a, b) =>
 		servedTo(queue, a.organisation) - servedTo(queue, b.organisation) || a.startBy - b.startBy)[0]!;
 
-// Counts the start as 1 / `weight` for the request's organisation, and drops the counts of organisations without a queued request. The
-// lower bound is meant to keep an organisation that was absent from a claim to all the starts that it missed.
+// Counts the start as 1 / `weight` for the request's organisation, and drops the counts of organisations without a queued request.
+// `lowestServed` is meant to keep an organisation that returns to the queue from getting all the starts that it missed.
 const chargeOrganisation = (queue: QueueState, request: QueuedRequest): ReadonlyMap<string, number> => {
 	const present = new Set(queue.waiting.map(({organisation}) => organisation));
 	const lowestServed = Math.min(...[...present].map(organisation => servedTo(queue, organisation)));
--- a/packages/routing/src/retries/step-retry-window.ts
+++ b/packages/routing/src/retries/step-retry-window.ts
@@ -33,8 +33,9 @@
 `deckwheeld` spends a credit instead (`stepRetryBudget`). Entry hosts use this function, because their platform states a ratio of
 retries to requests over a sliding window, and counts retries itself. Each host keeps to that ratio of its own requests, without
 asking the other hosts. The platform also tolerates a slack beyond the ratio, but for all hosts together, so no host uses any of it.
-The retries of the current and the previous window together are held against the requests of the one of the two that has more, so that no sliding
-window holds too many retries.
+
+The retries of the current and the previous window together are compared with the requests of that one of the two windows that has
+more, so that no sliding window holds too many retries.
 
 @param before `undefined` before the service's first request at this host.
 @param now Monotonic ms.
--- a/packages/routing/src/test/request-limits.test.ts
+++ b/packages/routing/src/test/request-limits.test.ts
@@ -85,7 +85,7 @@
 	t.deepEqual(stepRequestLimit(known, {perSecond: 2, askedAt: 20, readAt: 140}), {perSecond: 2, askedAt: 50, readAt: 140});
 });
 
-test('a limit that no endpoint reaches counts as none', t => {
+test('a limit of 1000 requests a second or more counts as none', t => {
 	for (const perSecond of [1000, 1e300, Number.POSITIVE_INFINITY]) {
 		t.is(stepRequestLimit(known, {perSecond, askedAt: 110, readAt: 130}).perSecond, undefined);
 	}
--- a/packages/routing/src/test/step-endpoints.test.ts
+++ b/packages/routing/src/test/step-endpoints.test.ts
@@ -112,9 +112,9 @@
 });
 
 test('a backoff does not end when the endpoint\'s entry expires and is listed again', t => {
-	const back = applyEvents(twoEndpoints, [
+	const relisted = applyEvents(twoEndpoints, [
 		{type: 'rest_asked', endpoint: 'a', until: 500}, {type: 'configured', endpoints: []}, {type: 'configured', endpoints: [info('a')]},
 	]);
-	t.is(chooseEndpoint(back, request, 499, scoreByCost), undefined);
-	t.is(chooseEndpoint(back, request, 500, scoreByCost)?.endpoint, 'a');
+	t.is(chooseEndpoint(relisted, request, 499, scoreByCost), undefined);
+	t.is(chooseEndpoint(relisted, request, 500, scoreByCost)?.endpoint, 'a');
 });
