--- a/packages/entry/src/test/evacuated-halls.test.ts
+++ b/packages/entry/src/test/evacuated-halls.test.ts
@@ -1,9 +1,9 @@
 /**
 Guards against requests to endpoints of an evacuated hall, and against a rush of requests to its cold endpoints after the evacuation.
 
-It comes about when the choice of an endpoint ignores the operators' orders, warm-ups or regions: 99 requests from all hosts reached an
-evacuated hall before the order was withdrawn, and then all hosts used its cold endpoints again at once. Without the rule in
-`findExclusion`, 20 of 20 requests go to the evacuated hall, which is the nearer one.
+It comes about when hosts do not read the operators' orders from the store, or when the choice of an endpoint ignores orders, warm-ups
+or regions: 99 requests from all hosts reached an evacuated hall before the order was withdrawn, and then all hosts used its cold
+endpoints again at once. Without the rule in `findExclusion`, 20 of 20 requests go to the evacuated hall, which is the nearer one.
 */
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import test from 'ava';
