--- a/packages/ledger/src/account/holdings.ts
+++ b/packages/ledger/src/account/holdings.ts
@@ -1,16 +1,16 @@
-/** Amounts by the other holder, as far as sums of them are worked out: a `Map`, or one of `immutable`. */
+/** The part of a map of tokens by holder that sums need: a `Map`, or a `Map` of `immutable`. */
 type Transfers = {readonly values: () => Iterable<number>};
 
-/** What decides how much a holder may still spend, in tokens. Both programs' accounts have it. */
+/** The amounts that decide how much a holder may still spend, in tokens. The accounts of `deckwheeld` and of the entry host both have these fields. */
 export type Holdings = {
 	/** What the store records as granted to this holder. */
 	readonly granted: number;
-	/** Totals ever received from other holders. */
+	/** Tokens ever received from other holders, by holder. */
 	readonly received: Transfers;
-	/** Totals ever given to other holders. */
+	/** Tokens ever given to other holders, by holder. */
 	readonly given: Transfers;
-	/** The worst case of open requests. */
+	/** The worst-case cost of all open requests. */
 	readonly reserved: number;
-	/** What ended requests cost. */
+	/** The cost of all ended requests. */
 	readonly settled: number;
 };
--- a/packages/ledger/src/account/surplus.ts
+++ b/packages/ledger/src/account/surplus.ts
@@ -3,11 +3,11 @@
 import type {Account} from './account.js';
 import {available} from './available.js';
 
-/** Rights this small are not worth a give-back, in tokens. */
-const keepTokens = 2000;
+/** Tokens that a holder keeps above its tolerated target, since giving back less is not worth a write to the store. */
+const marginTokens = 2000;
 
-/** How far above its target a holder may be before it gives back, so that rights do not swing between halls. */
-const tolerance = 1.1;
+/** A holder may have this multiple of its target before it gives rights back, so that rights do not oscillate between halls. */
+const toleratedRatio = 1.1;
 
 type SurplusInputs = {
 	readonly account: Account;
@@ -18,12 +18,13 @@
 };
 
 /**
-Decides how many tokens a pair of `deckwheeld` gives back to the store: what it has beyond what its policy would hold.
+Decides how many tokens a pair of `deckwheeld` gives back to the store: its available tokens beyond the target of its policy,
+with a tolerance. Returns a whole number, 0 or more.
 
-The entry host on a platform decides by `planRights` (`packages/entry`): it tolerates more, since each of its writes
-counts against the rates of the platform's store, and it gives nothing back while the store is out of reach.
+The entry host on a platform decides by `planRights` (`packages/entry`) instead: it tolerates more, since each of its writes
+counts against the rate limit of the platform's store, and it gives nothing back while the store is unreachable.
 */
 export const surplus = ({account, store, holdAhead, tokensPerSecond, holders}: SurplusInputs): number => {
 	const target = holdAhead({tokensPerSecond, holders, ...store});
-	return Math.max(0, Math.floor(available(account) - (target * tolerance) - keepTokens));
+	return Math.max(0, Math.floor(available(account) - (target * toleratedRatio) - marginTokens));
 };
--- a/packages/ledger/src/claims/answer.ts
+++ b/packages/ledger/src/claims/answer.ts
@@ -1,4 +1,4 @@
-/** A whole answer, kept so that a retry gets the same one. */
+/** A complete response to a request, recorded in its claim so that a retry gets the same response. */
 export type Answer = {
 	readonly status: number;
 	readonly contentType: string;
--- a/packages/ledger/src/claims/apply-op.ts
+++ b/packages/ledger/src/claims/apply-op.ts
@@ -23,7 +23,7 @@
 };
 
 const withRun = (claim: Claim, run: Run): Claim =>
-	({...claim, runs: claim.runs.map(old => old.number === run.number ? run : old)});
+	({...claim, runs: claim.runs.map(other => other.number === run.number ? run : other)});
 
 const reserve = (ledger: Ledger, budget: string, tokens: number): Ledger => {
 	const account = accountOf(ledger, budget);
@@ -44,8 +44,8 @@
 	return withClaim(reserved, op.claim, {...claim, runs: [...claim.runs, op.run]});
 };
 
-// What a run cost moves from `reserved` to `settled`; the difference becomes available again.
-// A lost run keeps its whole reservation, since it may still be running.
+// Ends a run's reservation and charges what the endpoint served (`served`); the unused part of the reservation becomes available again.
+// A lost run must not be charged here: it may still be running, so its whole reservation stays.
 const chargeRun = (ledger: Ledger, claim: Claim, run: Run, cost: {readonly served: number; readonly bill: number}): Ledger => {
 	const {served, bill} = cost;
 	const account = accountOf(ledger, claim.budget);
@@ -89,7 +89,7 @@
 	return next;
 };
 
-// Totals only rise, so a late or repeated copy of the message is a no-op.
+// The total received from a holder only rises, so a late or repeated copy of a message changes nothing.
 const applyReceive = (ledger: Ledger, op: LedgerOp & {type: 'receive'}): Ledger => {
 	const account = accountOf(ledger, op.budget);
 	const total = Math.max(account.received.get(op.from, 0), op.total);
@@ -97,11 +97,12 @@
 };
 
 /**
-Applies one op to a ledger.
+Applies one op to a ledger and returns the new ledger. Pure.
 
-Both hosts of a pair run this on the same ops in the same order.
+Both hosts of a pair apply the same ops in the same order.
 
-Throws an `InvariantError` when the op breaks conservation of rights: that is a fault in deckwheel.
+Throws an `InvariantError` when the op would spend or transfer more rights than the holder has, open, settle or bill twice, or name an
+unknown claim: that is a bug in deckwheel.
 */
 export const applyOp = (ledger: Ledger, op: LedgerOp): Ledger => {
 	switch (op.type) {
--- a/packages/ledger/src/claims/claim-id.ts
+++ b/packages/ledger/src/claims/claim-id.ts
@@ -1,2 +1,2 @@
-/** Where a claim is found. Scoped by budget, so that no organisation can name another's request. */
+/** The id by which a ledger finds a claim. It includes the budget, so that no organisation can name another organisation's request. */
 export const claimId = (budget: string, key: string): string => `${budget}\n${key}`;
--- a/packages/ledger/src/claims/claim.ts
+++ b/packages/ledger/src/claims/claim.ts
@@ -1,17 +1,20 @@
 import type {Answer} from './answer.js';
 import type {Run} from './run.js';
 
-/** What is known of one request, found by its budget and key. */
+/** The record of one request and its runs, found by its budget and key (`claimId`). */
 export type Claim = {
 	readonly budget: string;
 	readonly key: string;
 	/** A hash of the request's content: the same key with other content is a conflict, not a retry. */
 	readonly fingerprint: string;
+	/** Whether the request may run again after an earlier run failed or was lost. */
 	readonly repeatable: boolean;
+	/** All runs, oldest first. */
 	readonly runs: readonly Run[];
 	/** Tokens billed. Set once; a claim is never billed again. */
 	readonly bill?: number;
+	/** The complete response, recorded together with the bill of a finished run. */
 	readonly answer?: Answer;
-	/** Wall-clock time in ms until which retries are recognised. */
+	/** Wall-clock time in ms until which the claim is kept, so that retries are recognised. */
 	readonly keepUntil: number;
 };
--- a/packages/ledger/src/claims/decide.ts
+++ b/packages/ledger/src/claims/decide.ts
@@ -10,9 +10,9 @@
 
 /**
 Decides one request against a ledger. Pure: the caller applies the ops with
-`applyOp`, and sends the reply only when both hosts of the pair hold them.
+`applyOp`, and sends the reply only when both hosts of the pair hold those ops.
 
-@param now Wall-clock ms.
+@param now Wall-clock time in ms.
 */
 export const decide = (ledger: Ledger, request: SlotRequest, now: number): Decision => {
 	switch (request.type) {
@@ -33,7 +33,7 @@
 		}
 
 		case 'receive': {
-			// A total counts for one holder. The next one would credit itself with all that the earlier one got.
+			// The total was given to one holder. A holder of a later generation would credit itself with all that the earlier holder received.
 			const {to, ...received} = request;
 			return {ops: to === ledger.holder ? [received] : [], reply: {type: 'done'}};
 		}
--- a/packages/ledger/src/claims/expire-request.ts
+++ b/packages/ledger/src/claims/expire-request.ts
@@ -1,2 +1,2 @@
-/** Drops the claims whose time is over and charges the runs that nobody could resolve. */
+/** Drops the claims whose `keepUntil` has passed, and charges their runs without a known outcome in full. */
 export type ExpireRequest = {readonly type: 'expire'};
--- a/packages/ledger/src/claims/from-plain-ledger.ts
+++ b/packages/ledger/src/claims/from-plain-ledger.ts
@@ -3,7 +3,7 @@
 import type {Ledger} from './ledger.js';
 import type {PlainLedger} from './plain-ledger.js';
 
-/** Turns plain data from the wire back into a ledger. */
+/** Turns the plain data of a snapshot message back into a ledger. */
 export const fromPlainLedger = (plain: PlainLedger): Ledger => ({
 	holder: plain.holder,
 	completeSince: plain.completeSince,
--- a/packages/ledger/src/claims/lookup-request.ts
+++ b/packages/ledger/src/claims/lookup-request.ts
@@ -1,4 +1,4 @@
-/** Asks what is known of one request. Changes nothing. */
+/** Asks for the claim of one request. Changes nothing. */
 export type LookupRequest = {
 	readonly type: 'lookup';
 	readonly budget: string;
--- a/packages/ledger/src/claims/plain-ledger.ts
+++ b/packages/ledger/src/claims/plain-ledger.ts
@@ -1,7 +1,7 @@
 import type {Account} from '../account/account.js';
 import type {Claim} from './claim.js';
 
-/** A ledger as plain data, for the wire. */
+/** A ledger as plain data, for snapshot messages between the hosts of a pair. */
 export type PlainLedger = {
 	readonly holder: string;
 	readonly completeSince: number;
--- a/packages/ledger/src/claims/slot-reply.ts
+++ b/packages/ledger/src/claims/slot-reply.ts
@@ -4,22 +4,23 @@
 import type {Claim} from './claim.js';
 import type {Run} from './run.js';
 
-/** What a slot's primary answers. */
+/** The reply of a slot's primary to a `SlotRequest`. */
 export type SlotReply =
-	/** The run may be sent, until its `sendBy`. */
+	/** The runner may send the request to the endpoint until the run's `sendBy`. */
 	| {readonly type: 'run'; readonly run: Run}
-	/** Another attempt runs already: its stream is to be attached to. */
+	/** A run of another attempt is open: the caller is to be attached to that run's stream. */
 	| {readonly type: 'attach'; readonly run: Run}
-	/** It ran; here is the answer, and what it was billed. */
+	/** The request has finished: its recorded response, and its bill in tokens. */
 	| {readonly type: 'answer'; readonly answer: Answer; readonly bill: number}
 	| {readonly type: 'refused'; readonly refusal: Refusal}
-	/** The holder lacks rights; `missing` tokens more are needed. */
+	/** The holder has too few rights for the run's worst case: it lacks `missing` tokens. */
 	| {readonly type: 'short'; readonly missing: number}
-	/** The run's end is recorded. `bill` is the claim's bill, if it has one. */
+	/** The run's outcome is recorded, or the report changed nothing. `bill` is the claim's bill in tokens, if it has one. */
 	| {readonly type: 'settled'; readonly bill?: number}
+	/** The claim of the request; absent when the ledger has none. */
 	| {readonly type: 'found'; readonly claim?: Claim}
-	/** Rights were given, as the total ever given to the asking holder. */
+	/** `from` gave rights to the asking holder; `total` is all tokens that it ever gave to that holder on the budget. */
 	| {readonly type: 'given'; readonly from: string; readonly total: number}
 	| {readonly type: 'done'}
-	/** This host does not serve the slot. `pair` is the newest that it knows of. */
+	/** This host is not the slot's primary. `pair` is the newest pair that it knows. */
 	| {readonly type: 'not_owner'; readonly pair?: Pair};
--- a/packages/ledger/src/claims/slot-request.ts
+++ b/packages/ledger/src/claims/slot-request.ts
@@ -7,7 +7,7 @@
 import type {SettleRequest} from './settle-request.js';
 import type {WantRequest} from './want-request.js';
 
-/** What a slot's primary can be asked. */
+/** A request to a slot's primary. */
 export type SlotRequest =
 	| ClaimRequest
 	| ExpireRequest
--- a/packages/ledger/src/claims/to-plain-ledger.ts
+++ b/packages/ledger/src/claims/to-plain-ledger.ts
@@ -1,7 +1,7 @@
 import type {Ledger} from './ledger.js';
 import type {PlainLedger} from './plain-ledger.js';
 
-/** Turns a ledger into plain data for the wire. */
+/** Turns a ledger into plain data for a snapshot message. */
 export const toPlainLedger = (ledger: Ledger): PlainLedger => ({
 	holder: ledger.holder,
 	completeSince: ledger.completeSince,
--- a/packages/ledger/src/claims/want-request.ts
+++ b/packages/ledger/src/claims/want-request.ts
@@ -1,8 +1,9 @@
-/** Another holder asks for rights that this one can spare. */
+/** Another holder asks this holder for rights on a budget. */
 export type WantRequest = {
 	readonly type: 'want';
 	readonly budget: string;
-	/** The holder that asks. */
+	/** The name of the holder that asks. */
 	readonly holder: string;
+	/** How many tokens it asks for; less is given where less is available. */
 	readonly tokens: number;
 };
--- a/packages/ledger/src/hold-ahead/demand-view.ts
+++ b/packages/ledger/src/hold-ahead/demand-view.ts
@@ -1,15 +1,15 @@
-/** What a hold-ahead policy decides from. Tokens, unless the name says otherwise. */
+/** What one holder knows of one budget when a hold-ahead policy decides. Amounts are in tokens. */
 export type DemandView = {
-	/** Tokens a second that this holder reserved lately. */
+	/** Tokens a second that this holder reserved recently. */
 	readonly tokensPerSecond: number;
-	/** Tokens a second that all holders reserved lately, as far as the store knows. */
+	/** Tokens a second that all holders reserved recently, as recorded in the store. */
 	readonly fleetTokensPerSecond: number;
-	/** What the store has left to grant. */
+	/** Tokens that no holder has, so that the store can still grant them. */
 	readonly unallocated: number;
-	/** What no holder has spent yet, as the store knows it: the rest there, and what all holders hold. */
+	/** Tokens that no holder has spent, as recorded in the store: the unallocated ones, and the unspent rights of all holders. */
 	readonly remaining: number;
-	/** This holder's part of the demand of all holders, 0 to 1. */
+	/** This holder's share of `fleetTokensPerSecond`, 0 to 1. */
 	readonly demandShare: number;
-	/** How many holders may ask for rights on this budget: halls of `deckwheeld`, hosts on a platform. */
+	/** How many holders may ask for rights on this budget: halls with `deckwheeld`, hosts on a platform. */
 	readonly holders: number;
 };
--- a/packages/ledger/src/hold-ahead/hold-ahead-by-rate.ts
+++ b/packages/ledger/src/hold-ahead/hold-ahead-by-rate.ts
@@ -2,62 +2,65 @@
 import type {HoldAhead} from './hold-ahead.js';
 
 /**
-The most that one holder holds, in equal shares of `shareOfRest`: others may have demand that is not recorded yet.
+Limits one holder to this many equal shares (`1 / holders`) of what all holders together hold, since other holders may have
+demand that the store does not record yet.
 */
-const mostShares = 3;
+const maxShares = 3;
 
-/** How far ahead holders hold while what the store has left lasts for long. */
+/** How far ahead holders hold while the unallocated tokens in the store last much longer than the horizon. */
 type LongRest = {
-	/** The part of the time that it lasts which is held ahead, 0 to 1. */
+	/** The share of the time that the unallocated tokens last for which a holder holds rights ahead, 0 to 1. */
 	readonly share: number;
-	/** The most, in horizons. */
+	/** The largest factor by which the horizon grows. */
 	readonly mostHorizons: number;
 };
 
-/** How far ahead a single host holds rights. */
+/** How many rights a single host holds. */
 type HoldAheadByRateSettings = {
-	/** The part of what remains of a budget that all holders together hold, 0 to 1. */
+	/** The share of a budget's unspent tokens (`remaining`) that all holders together hold, 0 to 1. */
 	readonly shareOfRest: number;
-	/** No more than this many seconds of the holder's own demand. */
+	/** A holder holds no more than its own demand of this many seconds. */
 	readonly horizonSeconds: number;
-	/** How the horizon grows while the store has much left; it stays as it is without. */
+	/** How the horizon grows while the store has many unallocated tokens. Without this setting the horizon does not grow. */
 	readonly longRest?: LongRest;
-	/** The part of what all hold that holders without demand of their own hold ready, together, 0 to 1. */
+	/** The share of what all holders hold that is split equally among them, whether a holder has demand or not, 0 to 1. */
 	readonly idleShare: number;
 };
 
-/** By how much the horizon grows, at least 1. */
-const horizonStretch = ({unallocated, fleetTokensPerSecond}: DemandView, {share, mostHorizons}: LongRest, horizonSeconds: number): number => {
+/** The factor by which the horizon grows, at least 1. */
+const horizonFactor = ({unallocated, fleetTokensPerSecond}: DemandView, {share, mostHorizons}: LongRest, horizonSeconds: number): number => {
 	const lastsSeconds = fleetTokensPerSecond > 0 ? unallocated / fleetTokensPerSecond : 0;
 	return Math.max(1, Math.min(mostHorizons, lastsSeconds * share / horizonSeconds));
 };
 
 /**
-Holds a part of what remains, by the holder's part of the demand, and never more than a time of its own demand.
+Creates a policy by which a holder holds a share of a budget's unspent tokens in proportion to its demand, limited to its own
+demand over a horizon.
 
-A part of what remains shrinks with the budget, so that no host corners its last tokens, and needs no knowledge
-of how long the budget has to last. The horizon keeps what a dead host strands within bounds.
+A share of the unspent tokens shrinks with the budget, so that no host takes the last tokens alone, and the policy needs no
+knowledge of how long the budget has to last. The horizon bounds the rights that a crashed host strands.
 
-While what the store has left lasts for long, an outage refuses requests that nobody else would miss the rights of; so the horizon grows
-with that time (`longRest`), and is back to its length before the budget runs out.
+While the unallocated tokens last much longer than the horizon, a holder that runs out of rights during an outage of the store
+refuses requests although no other holder needs those tokens. So the horizon grows with the time that they last (`longRest`), and
+is back at `horizonSeconds` before the budget runs out.
 
-A holder without demand of its own holds its share of what the whole demand takes in that horizon, and at least one request
-of the largest size it has seen, so that a cut finds it ready. Bounded by what remains alone, the deaths of a hardly used
-budget's hosts left little of it: ten deaths of a single host took 67 of 100 tokens (`rights-after-deaths`).
+A holder without demand of its own holds its equal part of what the demand of all holders takes over the horizon, and at least
+one request of the largest size that it has seen, so that it can serve during an outage of the store. Without this limit, by the
+unspent tokens alone, crashes used up budgets with hardly any demand: ten crashes of a single host took 67 of 100 tokens (`rights-after-deaths`).
 
-The entry host on a platform holds by this policy: its holders are hosts, which die more often than a pair of hosts of
-`deckwheeld` (`holdAheadByShare`), and what a dead host held stays charged.
+The entry host on a platform uses this policy: its holders are hosts, which crash more often than both hosts of a pair of
+`deckwheeld` (`holdAheadByShare`) at once, and what a crashed host held stays charged.
 
-@param horizon How many seconds of its own demand it holds at the moment.
 @param largestRequest The largest request that this holder has seen on any budget, in tokens; 0 while it has seen none.
+@param horizon The current horizon in seconds, before `longRest` extends it.
 */
 export const holdAheadByRate = ({shareOfRest, horizonSeconds, longRest, idleShare}: HoldAheadByRateSettings, largestRequest = () => 0, horizon = () => horizonSeconds): HoldAhead => view => {
-	const aheadSeconds = horizon() * (longRest ? horizonStretch(view, longRest, horizonSeconds) : 1);
-	const part = view.remaining * shareOfRest;
-	const idlePart = part * idleShare / view.holders;
-	const idleAhead = view.fleetTokensPerSecond * aheadSeconds * idleShare / view.holders;
-	const idle = Math.min(idlePart, Math.max(idleAhead, largestRequest()));
-	const share = Math.min(view.demandShare, mostShares / view.holders);
-	const busy = Math.min(part * share, view.tokensPerSecond * aheadSeconds);
-	return Math.ceil(Math.max(idle, busy));
+	const aheadSeconds = horizon() * (longRest ? horizonFactor(view, longRest, horizonSeconds) : 1);
+	const fleetTarget = view.remaining * shareOfRest;
+	const idleLimit = fleetTarget * idleShare / view.holders;
+	const idleDemand = view.fleetTokensPerSecond * aheadSeconds * idleShare / view.holders;
+	const idleTarget = Math.min(idleLimit, Math.max(idleDemand, largestRequest()));
+	const share = Math.min(view.demandShare, maxShares / view.holders);
+	const demandTarget = Math.min(fleetTarget * share, view.tokensPerSecond * aheadSeconds);
+	return Math.ceil(Math.max(idleTarget, demandTarget));
 };
--- a/packages/ledger/src/hold-ahead/hold-ahead-by-share.ts
+++ b/packages/ledger/src/hold-ahead/hold-ahead-by-share.ts
@@ -1,13 +1,13 @@
 import type {HoldAhead} from './hold-ahead.js';
 
 /**
-Splits what is left of a budget among its holders by their demand, as far ahead as there is anything to hold.
+Creates a policy that splits a budget's unspent tokens among its holders in proportion to their demand, without a limit in time.
 
-Rights that sit in the store are out of reach in a cut; rights at a holder are not. So nothing is kept back
-in the store beyond `1 - shareOfRest`, however long the cut will be. While halls can reach each other,
-transfers correct a split that turns out wrong.
+During an outage of the store a holder can spend the rights that it holds, but not those in the store. So the store keeps
+only `1 - shareOfRest` of the unspent tokens, however long an outage lasts. While halls can reach each other,
+they correct a wrong split by transfers of rights.
 
-`deckwheeld` holds by this policy.
+`deckwheeld` uses this policy.
 */
 export const holdAheadByShare = ({shareOfRest}: {readonly shareOfRest: number}): HoldAhead => view => {
 	const target = view.remaining * shareOfRest * view.demandShare;
--- a/packages/ledger/src/hold-ahead/hold-ahead.ts
+++ b/packages/ledger/src/hold-ahead/hold-ahead.ts
@@ -1,4 +1,4 @@
 import type {DemandView} from './demand-view.js';
 
-/** Decides how many tokens, whole ones, a holder should have at hand on one budget, what it has now included. */
+/** Decides how many tokens a holder should hold on one budget, including the tokens that it holds already. Returns a whole number. */
 export type HoldAhead = (view: DemandView) => number;
--- a/packages/ledger/src/lib/coarse-rate.ts
+++ b/packages/ledger/src/lib/coarse-rate.ts
@@ -1,18 +1,18 @@
-/** Steps of a recorded rate between one power of two and the next: about 9 percent each. */
+/** Recorded rates per power of two, so that neighbouring recorded rates differ by about 9 percent. */
 const stepsPerOctave = 8;
 
-/** A rate below this, in tokens a second, is as good as none. */
-const leastRate = 0.01;
+/** A rate below this, in tokens a second, is recorded as 0. */
+const minRate = 0.01;
 
 /** Rates are recorded in thousandths of a token a second. */
-const decimals = 1000;
+const roundingFactor = 1000;
 
-/** Rounds a rate, so that one that hardly changes causes no write to the store. */
+/** Rounds a rate in tokens a second for the record in the store, so that a small change of the rate causes no write. */
 export const coarseRate = (rate: number): number => {
-	if (rate < leastRate) {
+	if (rate < minRate) {
 		return 0;
 	}
 
 	const rounded = 2 ** (Math.round(stepsPerOctave * Math.log2(rate)) / stepsPerOctave);
-	return Math.round(decimals * rounded) / decimals;
+	return Math.round(roundingFactor * rounded) / roundingFactor;
 };
--- a/packages/ledger/src/lib/decide-claim.ts
+++ b/packages/ledger/src/lib/decide-claim.ts
@@ -20,23 +20,23 @@
 	reason: request.reason,
 });
 
-const missingFor = (ledger: Ledger, request: ClaimRequest): number =>
+const missingTokens = (ledger: Ledger, request: ClaimRequest): number =>
 	request.worstCase - available(accountOf(ledger, request.budget));
 
-const short = (missing: number): Decision => ({ops: [], reply: {type: 'short', missing}});
+const replyShort = (missing: number): Decision => ({ops: [], reply: {type: 'short', missing}});
 
-// A holder that started after both hosts of a pair were lost does not know the claims from before.
-const mayHaveForgotten = (ledger: Ledger, request: ClaimRequest): boolean =>
+// A holder whose predecessor lost its ledger with both hosts of the pair does not know earlier claims. A key of unknown age may be one of those.
+const mayMissEarlierClaim = (ledger: Ledger, request: ClaimRequest): boolean =>
 	ledger.completeSince > 0 && (request.keyMadeAt ?? 0) < ledger.completeSince;
 
 const openClaim = (ledger: Ledger, request: ClaimRequest): Decision => {
-	if (!request.repeatable && mayHaveForgotten(ledger, request)) {
+	if (!request.repeatable && mayMissEarlierClaim(ledger, request)) {
 		return refuse({code: 'outcome_unknown', message: 'This hall lost its record of earlier requests. Whether this key ran is unknown; it was not run again.', ran: 'unknown'});
 	}
 
-	const missing = missingFor(ledger, request);
+	const missing = missingTokens(ledger, request);
 	if (missing > 0) {
-		return short(missing);
+		return replyShort(missing);
 	}
 
 	const run = newRun(request, 1);
@@ -49,24 +49,24 @@
 };
 
 const rerunClaim = (ledger: Ledger, request: ClaimRequest, claim: Claim): Decision => {
-	const missing = missingFor(ledger, request);
+	const missing = missingTokens(ledger, request);
 	if (missing > 0) {
-		return short(missing);
+		return replyShort(missing);
 	}
 
 	const run = newRun(request, claim.runs.length + 1);
 	return {ops: [{type: 'rerun', claim: claimId(request.budget, request.key), run}], reply: {type: 'run', run}};
 };
 
-// Reached when a claim has runs, but none that is open or finished.
+// Handles a claim that has neither an open run nor a recorded response.
 const retryEndedClaim = (ledger: Ledger, request: ClaimRequest, claim: Claim): Decision => {
-	const neverRan = claim.runs.every(({state}) => state === 'not_run');
-	if (neverRan || claim.repeatable) {
+	const hasNeverRun = claim.runs.every(({state}) => state === 'not_run');
+	if (hasNeverRun || claim.repeatable) {
 		return rerunClaim(ledger, request, claim);
 	}
 
-	const lost = claim.runs.some(({state}) => state === 'lost');
-	return lost
+	const hasLostRun = claim.runs.some(({state}) => state === 'lost');
+	return hasLostRun
 		? refuse({code: 'outcome_unknown', message: 'Contact was lost while this request may have been running. It will not be run again.', ran: 'unknown'})
 		: refuse({code: 'endpoint_failed', message: 'This request ran and broke off. It may not be repeated and will not be run again.', ran: 'ran'});
 };
@@ -80,17 +80,17 @@
 		return {ops: [], reply: {type: 'answer', answer: claim.answer, bill: claim.bill}};
 	}
 
-	const open = claim.runs.find(({state}) => state === 'running');
-	if (!open) {
+	const openRun = claim.runs.find(({state}) => state === 'running');
+	if (!openRun) {
 		return retryEndedClaim(ledger, request, claim);
 	}
 
-	// The same message again, after its reply was lost: the runner still waits to hear that it may send.
-	const type = open.attempt === request.attempt ? 'run' : 'attach';
-	return {ops: [], reply: {type, run: open}};
+	// A request of the same attempt is the same message sent again after its reply was lost: its runner still waits for permission to send.
+	const type = openRun.attempt === request.attempt ? 'run' : 'attach';
+	return {ops: [], reply: {type, run: openRun}};
 };
 
-/** Decides whether a request may run: claims its key and reserves its worst case in one step. */
+/** Decides whether a request may run. If it may, one op claims its key and reserves the run's worst-case cost. */
 export const decideClaim = (ledger: Ledger, request: ClaimRequest): Decision => {
 	const claim = ledger.claims.get(claimId(request.budget, request.key));
 	return claim ? retryClaim(ledger, request, claim) : openClaim(ledger, request);
--- a/packages/ledger/src/lib/decide-expire.ts
+++ b/packages/ledger/src/lib/decide-expire.ts
@@ -9,13 +9,17 @@
 		.filter(({state}) => state === 'running' || state === 'lost')
 		.map(({number}) => ({type: 'strand', claim: claimId(claim.budget, claim.key), run: number}));
 
-/** Ends the claims that no retry can ask for any more. Time never frees a reservation: it is charged. */
+/**
+Drops the claims whose `keepUntil` has passed. Time frees no reservation: runs without a known outcome are charged in full first.
+
+@param now Wall-clock time in ms.
+*/
 export const decideExpire = (ledger: Ledger, now: number): Decision => {
-	const over = [...ledger.claims.values()].filter(({keepUntil}) => keepUntil < now);
-	if (over.length === 0) {
+	const expired = [...ledger.claims.values()].filter(({keepUntil}) => keepUntil < now);
+	if (expired.length === 0) {
 		return {ops: [], reply: {type: 'done'}};
 	}
 
-	const claims = over.map(({budget, key}) => claimId(budget, key));
-	return {ops: [...over.flatMap(claim => strandOpenRuns(claim)), {type: 'forget', claims}], reply: {type: 'done'}};
+	const claims = expired.map(({budget, key}) => claimId(budget, key));
+	return {ops: [...expired.flatMap(claim => strandOpenRuns(claim)), {type: 'forget', claims}], reply: {type: 'done'}};
 };
--- a/packages/ledger/src/lib/decide-settle.ts
+++ b/packages/ledger/src/lib/decide-settle.ts
@@ -3,7 +3,7 @@
 import type {Ledger} from '../claims/ledger.js';
 import type {SettleRequest} from '../claims/settle-request.js';
 
-/** Records how a run ended. Only the first end of a run counts, and only the first bill of a claim. */
+/** Records how a run ended. Only a run's first outcome counts, but a `lost` run can still get its real outcome. Only the first bill of a claim counts. */
 export const decideSettle = (ledger: Ledger, request: SettleRequest): Decision => {
 	const id = claimId(request.budget, request.key);
 	const claim = ledger.claims.get(id);
@@ -14,8 +14,8 @@
 	}
 
 	const served = request.outcome === 'finished' || request.outcome === 'failed' ? request.served : 0;
-	const ends = request.outcome === 'finished' || (request.final && request.outcome === 'failed');
-	const bill = ends && claim.bill === undefined ? served : undefined;
+	const endsClaim = request.outcome === 'finished' || (request.final && request.outcome === 'failed');
+	const bill = endsClaim && claim.bill === undefined ? served : undefined;
 	const answer = request.outcome === 'finished' ? request.answer : undefined;
 	return {
 		ops: [{
--- a/packages/ledger/src/lib/decide-want.ts
+++ b/packages/ledger/src/lib/decide-want.ts
@@ -5,12 +5,12 @@
 import type {WantRequest} from '../claims/want-request.js';
 
 /**
-Gives rights to another holder. They leave here before the reply is sent:
-a lost reply strands them until the next one, which carries the total again.
+Gives rights to another holder. The `give` op takes the rights out of this ledger before the reply is sent, so that they are never
+counted twice. If the reply is lost, neither holder can spend them until the next reply, which carries the total again.
 */
 export const decideWant = (ledger: Ledger, request: WantRequest): Decision => {
 	const account = accountOf(ledger, request.budget);
-	// All that is asked: a request that waits over there counts more than one that may come here.
+	// The asking holder gets all that is available, up to what it asks for: a request that waits there counts more than one that may yet arrive here.
 	const amount = Math.max(0, Math.min(request.tokens, available(account)));
 	const total = account.given.get(request.holder, 0) + amount;
 	return {
--- a/packages/ledger/src/lib/empty-account.ts
+++ b/packages/ledger/src/lib/empty-account.ts
@@ -1,7 +1,7 @@
 import {Map as ImmutableMap} from 'immutable';
 import type {Account} from '../account/account.js';
 
-/** An account with no rights. */
+/** An account without rights or charges. */
 export const emptyAccount: Account = {
 	granted: 0,
 	received: ImmutableMap(),
--- a/packages/ledger/src/lib/send-snapshot.ts
+++ b/packages/ledger/src/lib/send-snapshot.ts
@@ -2,7 +2,7 @@
 import type {Replica} from '../replica/replica.js';
 import {toPlainLedger} from '../claims/to-plain-ledger.js';
 
-/** The effects that give the backup the whole ledger; none when there is no backup. */
+/** The effects that send the whole ledger to the backup; none on a host that is not the primary or has no backup. */
 export const sendSnapshot = (replica: Replica): readonly ReplicaEffect[] => {
 	const {pair, slot, seq, ledger} = replica;
 	if (replica.role !== 'primary' || pair.backup === undefined) {
--- a/packages/ledger/src/lib/step-configure.ts
+++ b/packages/ledger/src/lib/step-configure.ts
@@ -3,7 +3,7 @@
 import type {ReplicaRole} from '../replica/replica-role.js';
 import type {ReplicaStep} from '../replica/replica-step.js';
 import type {Replica} from '../replica/replica.js';
-import {disown} from './disown.js';
+import {rejectPending} from './reject-pending.js';
 import {releaseReplies} from './release-replies.js';
 import {sendSnapshot} from './send-snapshot.js';
 
@@ -11,13 +11,15 @@
 	const {pair, holder} = event;
 	const isNewGeneration = pair.generation !== replica.pair.generation;
 	if (!isNewGeneration && !replica.synced) {
-		// Serving without the pair's ledger would forget claims. Wait for a pair that fits.
+		// A primary without the pair's ledger would not know earlier claims and could run a request twice. The host retires from the
+		// slot until the store confirms another pair.
 		return {replica: {...replica, pair, role: 'retired'}, effects: []};
 	}
 
-	// The first generation has no history to miss.
+	// No ledger was lost before the first generation, so its ledger is complete since 0.
 	const ledger = isNewGeneration ? emptyLedger(holder, pair.generation > 1 ? now : 0) : replica.ledger;
 	const seq = isNewGeneration ? 0 : replica.seq;
+	// -1: the backup has acknowledged nothing in this epoch, not even a ledger without entries (`seq` 0).
 	const acked = pair.backup === undefined ? seq : -1;
 	const next: Replica = {
 		...replica, pair, role: 'primary', ledger, seq, acked, synced: true,
@@ -27,7 +29,7 @@
 };
 
 const stepDown = (replica: Replica, event: ReplicaEvent & {type: 'configure'}, role: ReplicaRole): ReplicaStep => {
-	const {replica: next, effects} = disown(replica);
+	const {replica: next, effects} = rejectPending(replica);
 	const ledger = role === 'retired' ? emptyLedger('') : next.ledger;
 	return {
 		replica: {
@@ -36,7 +38,11 @@
 	};
 };
 
-/** Takes up the part that a newer pair gives this host. Older or known pairs change nothing. */
+/**
+Gives this host its role in a newer pair. A pair of a known or older epoch changes nothing.
+
+@param now Wall-clock time in ms; claims made before it may be missing from the ledger of a later generation.
+*/
 export const stepConfigure = (replica: Replica, event: ReplicaEvent & {type: 'configure'}, now: number): ReplicaStep => {
 	const {pair} = event;
 	if (pair.epoch <= replica.pair.epoch) {
--- a/packages/ledger/src/lib/step-message.ts
+++ b/packages/ledger/src/lib/step-message.ts
@@ -5,13 +5,13 @@
 import type {ReplicaMessage} from '../replica/replica-message.js';
 import type {ReplicaStep} from '../replica/replica-step.js';
 import type {Replica} from '../replica/replica.js';
-import {disown} from './disown.js';
+import {rejectPending} from './reject-pending.js';
 import {releaseReplies} from './release-replies.js';
 import {sendSnapshot} from './send-snapshot.js';
 
 const unchanged = (replica: Replica): ReplicaStep => ({replica, effects: []});
 
-const ack = (replica: Replica, to: string): ReplicaEffect =>
+const sendAck = (replica: Replica, to: string): ReplicaEffect =>
 	({
 		type: 'send', to, message: {
 			type: 'ack', slot: replica.slot, epoch: replica.pair.epoch, seq: replica.seq,
@@ -20,18 +20,18 @@
 
 const stepAppend = (replica: Replica, from: string, message: ReplicaMessage & {type: 'append'}): ReplicaStep => {
 	const {slot, epoch, seq, ops} = message;
-	const isFromMyPrimary = replica.role === 'backup' && epoch === replica.pair.epoch && from === replica.pair.primary;
-	const mayLearn = epoch > replica.pair.epoch;
-	if (mayLearn || (isFromMyPrimary && (!replica.synced || seq > replica.seq + 1))) {
+	const isFromPrimary = replica.role === 'backup' && epoch === replica.pair.epoch && from === replica.pair.primary;
+	const isNewerEpoch = epoch > replica.pair.epoch;
+	if (isNewerEpoch || (isFromPrimary && (!replica.synced || seq > replica.seq + 1))) {
 		return {replica, effects: [{type: 'send', to: from, message: {type: 'behind', slot, epoch}}]};
 	}
 
-	if (!isFromMyPrimary) {
+	if (!isFromPrimary) {
 		return unchanged(replica);
 	}
 
 	if (seq <= replica.seq) {
-		return {replica, effects: [ack(replica, from)]};
+		return {replica, effects: [sendAck(replica, from)]};
 	}
 
 	let {ledger} = replica;
@@ -40,37 +40,37 @@
 	}
 
 	const next: Replica = {...replica, ledger, seq};
-	return {replica: next, effects: [ack(next, from)]};
+	return {replica: next, effects: [sendAck(next, from)]};
 };
 
-// A snapshot of a newer epoch may come before this host read that pair from the store.
-// Only a primary that the store confirmed sends one, so it tells of a newer pair.
+// A snapshot of a newer epoch may arrive before this host has read that pair from the store. Only a primary whose pair the store
+// confirmed sends snapshots, so this host takes the newer pair from the snapshot.
 const stepSnapshot = (replica: Replica, from: string, message: ReplicaMessage & {type: 'snapshot'}): ReplicaStep => {
 	const {pair, seq} = message;
-	const isNews = pair.epoch > replica.pair.epoch;
+	const isNewerPair = pair.epoch > replica.pair.epoch;
 	const isResync = pair.epoch === replica.pair.epoch && replica.role === 'backup' && (seq >= replica.seq || !replica.synced);
-	const isForMe = pair.backup === replica.self && pair.primary === from;
-	if (!isForMe || !(isNews || isResync)) {
+	const isForThisHost = pair.backup === replica.self && pair.primary === from;
+	if (!isForThisHost || !(isNewerPair || isResync)) {
 		return unchanged(replica);
 	}
 
-	const {effects} = disown(replica);
+	const {effects} = rejectPending(replica);
 	const next: Replica = {
 		...replica, pair, role: 'backup', ledger: fromPlainLedger(message.ledger), seq, acked: 0, synced: true, pending: List(),
 	};
-	return {replica: next, effects: [...effects, ack(next, from)]};
+	return {replica: next, effects: [...effects, sendAck(next, from)]};
 };
 
 const stepAck = (replica: Replica, from: string, message: ReplicaMessage & {type: 'ack'}): ReplicaStep => {
-	const isFromMyBackup = replica.role === 'primary' && message.epoch === replica.pair.epoch && from === replica.pair.backup;
-	if (!isFromMyBackup || message.seq <= replica.acked) {
+	const isFromBackup = replica.role === 'primary' && message.epoch === replica.pair.epoch && from === replica.pair.backup;
+	if (!isFromBackup || message.seq <= replica.acked) {
 		return unchanged(replica);
 	}
 
 	return releaseReplies({...replica, acked: message.seq});
 };
 
-/** Handles a message from the other host of the pair. */
+/** Handles a message from the other host of the pair. A message of an older epoch changes nothing. */
 export const stepMessage = (replica: Replica, from: string, message: ReplicaMessage): ReplicaStep => {
 	switch (message.type) {
 		case 'append': {
--- a/packages/ledger/src/lib/step-request.ts
+++ b/packages/ledger/src/lib/step-request.ts
@@ -6,7 +6,7 @@
 import type {Replica} from '../replica/replica.js';
 import {releaseReplies} from './release-replies.js';
 
-const ledgerAfter = (replica: Replica, ops: ReadonlyArray<Parameters<typeof applyOp>[1]>) => {
+const applyOps = (replica: Replica, ops: ReadonlyArray<Parameters<typeof applyOp>[1]>) => {
 	let {ledger} = replica;
 	for (const op of ops) {
 		ledger = applyOp(ledger, op);
@@ -15,7 +15,11 @@
 	return ledger;
 };
 
-/** A primary decides a request; anyone else names the pair that it knows of. */
+/**
+Decides a request if this host is the slot's primary. Otherwise replies `not_owner` with the newest pair that this host knows.
+
+@param now Wall-clock time in ms.
+*/
 export const stepRequest = (replica: Replica, event: ReplicaEvent & {type: 'request'}, now: number): ReplicaStep => {
 	const {id} = event;
 	if (replica.role !== 'primary') {
@@ -24,21 +28,21 @@
 
 	const {ops, reply} = decide(replica.ledger, event.request, now);
 	const {slot, pair: {epoch, backup}} = replica;
-	const changes = ops.length > 0;
-	const seq = changes ? replica.seq + 1 : replica.seq;
-	const sends: readonly ReplicaEffect[] = changes && backup !== undefined
+	const hasChanges = ops.length > 0;
+	const seq = hasChanges ? replica.seq + 1 : replica.seq;
+	const appends: readonly ReplicaEffect[] = hasChanges && backup !== undefined
 		? [{
 			type: 'send', to: backup, message: {
 				type: 'append', slot, epoch, seq, ops,
 			},
 		}]
 		: [];
-	// Without a backup there is nobody to wait for. With one, even a reply that changes
-	// nothing waits: it may tell of an entry that only this host holds.
+	// A primary without a backup replies at once. With a backup, even the reply to a request that changes nothing waits
+	// for the backup: the reply may depend on an entry that only this host holds.
 	const acked = backup === undefined ? seq : replica.acked;
 	const next: Replica = {
-		...replica, seq, acked, ledger: ledgerAfter(replica, ops), pending: replica.pending.push({seq, id, reply}),
+		...replica, seq, acked, ledger: applyOps(replica, ops), pending: replica.pending.push({seq, id, reply}),
 	};
 	const released = releaseReplies(next);
-	return {replica: released.replica, effects: [...sends, ...released.effects]};
+	return {replica: released.replica, effects: [...appends, ...released.effects]};
 };
--- a/packages/ledger/src/replica/new-replica.ts
+++ b/packages/ledger/src/replica/new-replica.ts
@@ -2,7 +2,11 @@
 import {emptyLedger} from '../claims/empty-ledger.js';
 import type {Replica} from './replica.js';
 
-/** A replica before the host has any part in the slot. */
+/**
+A replica on a host that has no role in the slot yet.
+
+@param self This host's incarnation.
+*/
 export const newReplica = (self: string, slot: number): Replica => ({
 	self,
 	slot,
--- a/packages/ledger/src/replica/pair-view.ts
+++ b/packages/ledger/src/replica/pair-view.ts
@@ -1,16 +1,17 @@
-/** What a host believes of the hosts in its hall. A belief: safety does not rest on it. */
+/** What a host believes about the hosts in its hall. A false belief may cost availability, but the safety of claims and rights does not depend on it. */
 export type PairView = {
+	/** This host's incarnation. */
 	readonly self: string;
-	/** Whether this host is about to stop. */
+	/** Whether this host is shutting down. */
 	readonly isStopping: boolean;
-	/** Incarnations that may take up new parts, this one included unless it is stopping. */
+	/** Incarnations that can take a role in a pair, this host's included unless it is shutting down. */
 	readonly live: readonly string[];
-	/** Incarnations that have not been heard of for long enough to be replaced. */
+	/** Whether an incarnation is believed to be gone, so that it is to be replaced: its host runs a newer one, or has been silent for long. */
 	readonly isGone: (host: string) => boolean;
-	/** Incarnations that are believed never to come back with the ledger that they held. */
+	/** Whether an incarnation is believed never to return with the ledger that it held. */
 	readonly isLost: (host: string) => boolean;
-	/** Whether this host's replica of a slot could become the primary. */
+	/** Whether this host's replica of a slot holds the ledger, so that it could become the primary. */
 	readonly isSynced: (slot: number) => boolean;
-	/** Whether this host is the primary of a slot and its backup holds everything. */
+	/** Whether this host is the primary of a slot and its backup holds every entry. */
 	readonly isHandoverReady: (slot: number) => boolean;
 };
--- a/packages/ledger/src/replica/pair.ts
+++ b/packages/ledger/src/replica/pair.ts
@@ -1,13 +1,13 @@
 /**
-Which two hosts serve a slot in a hall, as agreed through the store.
+The two hosts that serve a slot in a hall, as agreed through the store.
 
-The epoch rises with every change, the generation only when both hosts were
-lost and with them the ledger.
+The epoch rises with every change of the pair. The generation rises only when both
+hosts were lost, and the ledger with them.
 */
 export type Pair = {
 	readonly epoch: number;
 	readonly generation: number;
-	/** Host incarnation; absent when nobody serves the slot. */
+	/** Host incarnation; absent when no host serves the slot. */
 	readonly primary?: string;
 	/** Host incarnation; absent when the hall has no second host. */
 	readonly backup?: string;
--- a/packages/ledger/src/replica/pending-reply.ts
+++ b/packages/ledger/src/replica/pending-reply.ts
@@ -1,9 +1,10 @@
 import type {SlotReply} from '../claims/slot-reply.js';
 
-/** A reply that is held until the backup holds the entry it depends on. */
+/** A reply that the primary holds back until the backup has acknowledged the entries that the reply depends on. */
 export type PendingReply = {
+	/** The last entry that the reply may depend on. */
 	readonly seq: number;
-	/** Names the request towards the task that submitted it. */
+	/** Identifies the request to the task that submitted it. */
 	readonly id: number;
 	readonly reply: SlotReply;
 };
--- a/packages/ledger/src/replica/plan-pair.ts
+++ b/packages/ledger/src/replica/plan-pair.ts
@@ -2,25 +2,25 @@
 import type {PairView} from './pair-view.js';
 import type {Pair} from './pair.js';
 
-const spareFor = (slot: number, view: PairView, taken: ReadonlyArray<string | undefined>): string | undefined =>
-	rankByRendezvous(String(slot), view.live).find(host => !taken.includes(host));
+const findSpare = (slot: number, view: PairView, excluded: ReadonlyArray<string | undefined>): string | undefined =>
+	rankByRendezvous(String(slot), view.live).find(host => !excluded.includes(host));
 
 const isLive = (host: string | undefined, view: PairView): host is string =>
 	host !== undefined && view.live.includes(host);
 
-// As the primary: replace a backup that is gone or leaving, and find one where there is none.
+// As the primary, this host replaces a backup that is gone or shutting down, and adds a backup where the pair has none.
 const planAsPrimary = (slot: number, pair: Pair, view: PairView): Pair | undefined => {
 	const {self} = view;
 	const hasBackup = pair.backup !== undefined;
 	const needsBackup = !hasBackup || view.isGone(pair.backup) || !isLive(pair.backup, view);
-	const spare = needsBackup ? spareFor(slot, view, [self, pair.backup]) : undefined;
+	const spare = needsBackup ? findSpare(slot, view, [self, pair.backup]) : undefined;
 	if (spare !== undefined) {
 		return {...pair, epoch: pair.epoch + 1, backup: spare};
 	}
 
-	// Nobody else is left: a lone host has to serve without a backup.
-	const standsAlone = hasBackup && view.isGone(pair.backup);
-	return standsAlone ? {...pair, epoch: pair.epoch + 1, backup: undefined} : undefined;
+	// No other host can be the backup: once the old backup is gone, this host serves alone.
+	const isBackupGone = hasBackup && view.isGone(pair.backup);
+	return isBackupGone ? {...pair, epoch: pair.epoch + 1, backup: undefined} : undefined;
 };
 
 const planHandover = (slot: number, pair: Pair, view: PairView): Pair | undefined => {
@@ -29,7 +29,7 @@
 	}
 
 	return {
-		...pair, epoch: pair.epoch + 1, primary: pair.backup, backup: spareFor(slot, view, [pair.backup, view.self]),
+		...pair, epoch: pair.epoch + 1, primary: pair.backup, backup: findSpare(slot, view, [pair.backup, view.self]),
 	};
 };
 
@@ -37,15 +37,15 @@
 	const canSucceed = view.isGone(pair.primary!) && view.isSynced(slot) && !view.isStopping;
 	return canSucceed
 		? {
-			...pair, epoch: pair.epoch + 1, primary: view.self, backup: spareFor(slot, view, [view.self, pair.primary]),
+			...pair, epoch: pair.epoch + 1, primary: view.self, backup: findSpare(slot, view, [view.self, pair.primary]),
 		}
 		: undefined;
 };
 
-// Nobody holds the ledger any more: the best-ranked host starts a new generation.
+// When both hosts of the pair are lost, no host holds the ledger: the live host that ranks first starts a new generation.
 const planNewGeneration = (slot: number, pair: Pair, view: PairView): Pair | undefined => {
 	const members = [pair.primary, pair.backup].filter(host => host !== undefined);
-	// Asked first, since ranking costs time for each host of the hall.
+	// This check comes before the ranking, since a ranking takes time for each host of the hall.
 	if (!members.every(host => view.isLost(host))) {
 		return undefined;
 	}
@@ -59,9 +59,9 @@
 };
 
 /**
-The pair that this host would like a slot to have, or `undefined` to leave it.
+Plans the pair that this host proposes for a slot, or `undefined` when the current pair is to stay.
 
-The store's conditional update picks one winner among hosts that plan at the same time.
+When several hosts propose a pair at the same time, the store's conditional update lets one of them win.
 */
 export const planPair = (slot: number, pair: Pair, view: PairView): Pair | undefined => {
 	if (pair.primary === view.self) {
--- a/packages/ledger/src/replica/replica-role.ts
+++ b/packages/ledger/src/replica/replica-role.ts
@@ -1,8 +1,8 @@
 /**
-What this host does for a slot.
+This host's role in serving a slot.
 
-- `primary`: decides, and replies once the backup holds the change.
-- `backup`: applies what the primary decided.
-- `retired`: no part in it.
+- `primary`: decides requests, and replies once the backup holds the change.
+- `backup`: applies the ops that the primary decided.
+- `retired`: the host has no role in the slot.
 */
 export type ReplicaRole = 'primary' | 'backup' | 'retired';
--- a/packages/ledger/src/replica/step-replica.ts
+++ b/packages/ledger/src/replica/step-replica.ts
@@ -7,15 +7,16 @@
 import type {Replica} from './replica.js';
 
 /**
-Moves a replica on by one event.
+Computes a replica's next state and its effects for one event. Pure.
 
 The safety of claims and rights rests on two rules, neither of which reads a clock:
-a primary replies only to what its backup holds, and the store lets only one
-successor of an epoch win. A successor begins with all that it ever acknowledged,
-and from then on acknowledges nothing of the old epoch: so whatever the old primary
-told anybody, its successor knows, and it can tell nobody anything new.
+a primary sends a reply only once its backup holds every entry that the reply depends on,
+and the store lets only one successor of an epoch win. The successor starts with every entry
+that it acknowledged as the backup, and from then on acknowledges no entry of the old epoch.
+So the successor knows every entry that a reply of the old primary depended on, and the old
+primary cannot send a further reply.
 
-@param now Wall-clock ms.
+@param now Wall-clock time in ms.
 */
 export const stepReplica = (replica: Replica, event: ReplicaEvent, now: number): ReplicaStep => {
 	switch (event.type) {
--- a/packages/ledger/src/store/draw-amount.ts
+++ b/packages/ledger/src/store/draw-amount.ts
@@ -1,11 +1,11 @@
 type Inputs = {
-	/** What a hold-ahead policy wants at hand. */
+	/** Tokens that the holder should hold, by its hold-ahead policy. */
 	readonly target: number;
-	/** What the holder may still reserve. */
+	/** Tokens that the holder may still reserve. */
 	readonly available: number;
-	/** What waiting requests lack; 0 when none waits. */
+	/** Tokens that waiting requests lack; 0 when no request waits. */
 	readonly missing: number;
 };
 
-/** Decides how many tokens a holder asks the store for: up to its target, and at least what waiting requests lack. May be negative. */
+/** Decides how many tokens a holder asks the store for: up to its target, and at least what waiting requests lack. Negative when the holder has more than its target and no request waits. */
 export const drawAmount = ({target, available, missing}: Inputs): number => Math.ceil(Math.max(missing, target - available));
--- a/packages/ledger/src/store/draw-plan.ts
+++ b/packages/ledger/src/store/draw-plan.ts
@@ -1,15 +1,16 @@
 import type {RightsObject} from './rights-object.js';
 
-/** The write that a holder makes to the store, and the grants it may use once that write is confirmed. */
+/** The write that a holder is to make to the store, and the grants that it may use once the store has confirmed that write. */
 export type DrawPlan =
-	/** A newer epoch has written: this host must not write. */
+	/** A newer epoch of the holder's pair has written to the store: this host must not write. */
 	| {readonly type: 'deposed'}
 	| {
 		readonly type: 'write';
 		readonly rights: RightsObject;
+		/** The holder's total grant after this write, in tokens, by budget. */
 		readonly grants: ReadonlyArray<{readonly budget: string; readonly granted: number}>;
-		/** Budgets that the store does not have. */
+		/** Requested budgets that the store does not have. */
 		readonly unknown: readonly string[];
-		/** What the store has left after this write, by budget. */
+		/** Unallocated tokens in the store after this write, by budget. May be negative (`unallocated`). */
 		readonly rest: ReadonlyMap<string, number>;
 	};
--- a/packages/ledger/src/store/holder-name.ts
+++ b/packages/ledger/src/store/holder-name.ts
@@ -1,2 +1,2 @@
-/** The name under which a hall's pair holds rights. A lost ledger starts a new generation, and so a new holder. */
+/** The name of the holder that a hall's pair is. After the loss of a ledger the pair has a new generation, and so is a new holder. */
 export const holderName = (hall: string, generation: number): string => `${hall}#${generation}`;
--- a/packages/ledger/src/store/plan-draw.ts
+++ b/packages/ledger/src/store/plan-draw.ts
@@ -9,37 +9,40 @@
 const isDeposed = (rights: RightsObject, holder: string, epoch: number): boolean =>
 	Object.values(rights.budgets).some(({holders}) => (holders[holder]?.epoch ?? 0) > epoch);
 
-const drawOne = (rights: BudgetRights, holder: string, epoch: number, request: DrawRequest): BudgetRights => {
+const drawFromBudget = (rights: BudgetRights, holder: string, epoch: number, request: DrawRequest): BudgetRights => {
 	const {granted, transferred, rate, settled, billed, reserved, written} = request;
-	const known = {
+	const ownEntry = {
 		epoch, granted, transferred, rate: coarseRate(rate), settled, billed, ...(reserved === undefined ? {} : {reserved}), ...(written ? {written} : {}),
 	};
-	// The holder's own total replaces the store's: if an earlier write of its own took effect
-	// unseen, this one withdraws it, and the store's version check keeps late copies out.
-	const before: BudgetRights = {...rights, holders: {...rights.holders, [holder]: known}};
-	const rest = Math.max(0, unallocated(before));
-	const drawn = Math.max(0, Math.min(Math.floor(request.wants(viewStore(before, holder, rate))), rest));
-	return {...before, holders: {...before.holders, [holder]: {...known, granted: granted + drawn}}};
+	// The holder's own total grant replaces the one in the store. So if an earlier write of the holder took effect without a
+	// confirmation, this write withdraws its grant, and the store's version check rejects late copies of that earlier write.
+	const withOwnEntry: BudgetRights = {...rights, holders: {...rights.holders, [holder]: ownEntry}};
+	const rest = Math.max(0, unallocated(withOwnEntry));
+	const drawn = Math.max(0, Math.min(Math.floor(request.wants(viewStore(withOwnEntry, holder, rate))), rest));
+	return {...withOwnEntry, holders: {...withOwnEntry.holders, [holder]: {...ownEntry, granted: granted + drawn}}};
 };
 
 /**
-Works out one write to the store that carries a holder's draws, give-backs and settlements.
+Plans one write to the store that reports a holder's totals and draws more rights. A draw never exceeds the unallocated tokens of its budget.
 
-The store's conditional update decides whether it holds; only a confirmed write may be used.
+The store accepts the write by a conditional update on the version that `rights` was read at. The holder may use the grants only
+once the store has confirmed the write.
+
+@param epoch The epoch of the holder's pair.
 */
 export const planDraw = (rights: RightsObject, holder: string, epoch: number, requests: readonly DrawRequest[]): DrawPlan => {
 	if (isDeposed(rights, holder, epoch)) {
 		return {type: 'deposed'};
 	}
 
-	const known = requests.filter(({budget}) => rights.budgets[budget] !== undefined);
+	const knownRequests = requests.filter(({budget}) => rights.budgets[budget] !== undefined);
 	const unknown = requests.map(({budget}) => budget).filter(budget => rights.budgets[budget] === undefined);
-	const changed = Object.fromEntries(known.map(request => [request.budget, drawOne(rights.budgets[request.budget]!, holder, epoch, request)]));
+	const changedBudgets = Object.fromEntries(knownRequests.map(request => [request.budget, drawFromBudget(rights.budgets[request.budget]!, holder, epoch, request)]));
 	return {
 		type: 'write',
-		rights: {...rights, budgets: {...rights.budgets, ...changed}},
-		grants: known.map(({budget}) => ({budget, granted: changed[budget]!.holders[holder]!.granted})),
+		rights: {...rights, budgets: {...rights.budgets, ...changedBudgets}},
+		grants: knownRequests.map(({budget}) => ({budget, granted: changedBudgets[budget]!.holders[holder]!.granted})),
 		unknown,
-		rest: new Map(known.map(({budget}) => [budget, unallocated(changed[budget]!)])),
+		rest: new Map(knownRequests.map(({budget}) => [budget, unallocated(changedBudgets[budget]!)])),
 	};
 };
--- a/packages/ledger/src/store/rights-object.ts
+++ b/packages/ledger/src/store/rights-object.ts
@@ -1,8 +1,8 @@
 import type {BudgetRights} from './budget-rights.js';
 
-/** All budgets of one slot, as one object in the store: one write carries the draws of many budgets. */
+/** All budgets of one slot in one object of the store, so that one write can draw on many budgets. */
 export type RightsObject = {
 	readonly budgets: Readonly<Record<string, BudgetRights>>;
-	/** Budgets that were found in a form that cannot be read, as they were found. Nothing is drawn from them, and a write leaves them as they are. */
+	/** Records of budgets that cannot be parsed, as they were read. No holder draws on these budgets, and a write keeps the records unchanged. */
 	readonly unreadable?: Readonly<Record<string, unknown>>;
 };
--- a/packages/ledger/src/store/store-view.ts
+++ b/packages/ledger/src/store/store-view.ts
@@ -1,4 +1,4 @@
 import type {DemandView} from '../hold-ahead/demand-view.js';
 
-/** What a holder learns from the store about a budget when it draws. */
+/** The part of a `DemandView` that a holder reads from a budget's record in the store. */
 export type StoreView = Pick<DemandView, 'unallocated' | 'remaining' | 'demandShare' | 'fleetTokensPerSecond'>;
--- a/packages/ledger/src/store/top-up.ts
+++ b/packages/ledger/src/store/top-up.ts
@@ -1,10 +1,10 @@
 import type {BudgetRights} from './budget-rights.js';
 
-/** How many top-up identifiers are remembered. */
-const rememberedTopUps = 100;
+/** How many top-up identifiers a budget keeps. A repeated top-up that is older than these counts again. */
+const maxTopUpIds = 100;
 
-/** Pays tokens into a budget. The same identifier again changes nothing. */
+/** Adds prepaid tokens to a budget's limit. A top-up whose identifier the budget still keeps changes nothing. */
 export const topUp = (rights: BudgetRights, id: string, tokens: number): BudgetRights =>
 	rights.topUps.includes(id)
 		? rights
-		: {...rights, limit: rights.limit + tokens, topUps: [...rights.topUps, id].slice(-rememberedTopUps)};
+		: {...rights, limit: rights.limit + tokens, topUps: [...rights.topUps, id].slice(-maxTopUpIds)};
--- a/packages/ledger/src/test/lib/step-name.ts
+++ b/packages/ledger/src/test/lib/step-name.ts
@@ -1,9 +1,9 @@
-/** The kinds of steps in the world of the test. */
+/** The kinds of steps that the model of `createLedgerModel` can carry out. */
 export type StepName =
 	| 'breakLink'
 	| 'claim'
+	| 'crash'
 	| 'deliver'
-	| 'die'
 	| 'draw'
 	| 'finishWrite'
 	| 'giveBack'
--- a/packages/ledger/src/test/plan-pair.test.ts
+++ b/packages/ledger/src/test/plan-pair.test.ts
@@ -17,7 +17,7 @@
 	...changes,
 });
 
-test('a pair that serves is left alone', t => {
+test('a pair whose hosts both serve is not replaced', t => {
 	t.is(planPair(0, pair, view({})), undefined);
 	t.is(planPair(0, pair, view({self: 'a~1'})), undefined);
 	t.is(planPair(0, pair, view({self: 'c~1'})), undefined);
@@ -30,22 +30,22 @@
 	});
 });
 
-test('a backup without the ledger does not succeed', t => {
+test('a backup without the ledger does not succeed a primary that is gone', t => {
 	const isGone = (host: string) => host === 'a~1';
 	t.is(planPair(0, pair, view({isGone, live: ['b~1', 'c~1'], isSynced: () => false})), undefined);
 });
 
-test('a leaving primary hands over only when its backup holds everything', t => {
-	const leaving = {self: 'a~1', isStopping: true, live: ['b~1', 'c~1']};
-	t.is(planPair(0, pair, view({...leaving, isHandoverReady: () => false})), undefined);
-	t.like(planPair(0, pair, view(leaving)), {epoch: 4, primary: 'b~1', backup: 'c~1'});
+test('a primary that shuts down hands over only when its backup holds every entry', t => {
+	const stoppingPrimary = {self: 'a~1', isStopping: true, live: ['b~1', 'c~1']};
+	t.is(planPair(0, pair, view({...stoppingPrimary, isHandoverReady: () => false})), undefined);
+	t.like(planPair(0, pair, view(stoppingPrimary)), {epoch: 4, primary: 'b~1', backup: 'c~1'});
 });
 
 test('a new generation begins only when both hosts are believed lost', t => {
-	const third = {self: 'c~1', live: ['c~1']};
-	t.is(planPair(0, pair, view({...third, isGone: () => true})), undefined);
-	t.is(planPair(0, pair, view({...third, isLost: host => host === 'a~1'})), undefined);
-	t.deepEqual(planPair(0, pair, view({...third, isLost: () => true})), {
+	const otherHost = {self: 'c~1', live: ['c~1']};
+	t.is(planPair(0, pair, view({...otherHost, isGone: () => true})), undefined);
+	t.is(planPair(0, pair, view({...otherHost, isLost: host => host === 'a~1'})), undefined);
+	t.deepEqual(planPair(0, pair, view({...otherHost, isLost: () => true})), {
 		epoch: 4, generation: 2, primary: 'c~1', backup: undefined,
 	});
 });
