--- a/packages/ledger/src/account/account.ts
+++ b/packages/ledger/src/account/account.ts
@@ -19,6 +19,6 @@
 	readonly settled: number;
 	/** The part of `settled` that was billed. */
 	readonly billed: number;
-	/** The part of `settled` that is on no bill: failed runs before the last, further runs of a billed claim, and runs whose outcome stayed unknown. */
+	/** The part of `settled` that is on no bill: failed runs that were not final, further runs of a billed claim, and runs whose outcome stayed unknown. */
 	readonly wasted: number;
 };
--- a/packages/ledger/src/hold-ahead/hold-ahead-by-rate.ts
+++ b/packages/ledger/src/hold-ahead/hold-ahead-by-rate.ts
@@ -45,8 +45,9 @@
 is back at `horizonSeconds` before the budget runs out.
 
 A holder without demand of its own holds its equal part of what the demand of all holders takes over the horizon, and at least
-one request of the largest size that it has seen, so that it can serve during an outage of the store. Without this limit, by the
-unspent tokens alone, crashes used up budgets with hardly any demand: ten crashes of a single host took 67 of 100 tokens (`rights-after-deaths`).
+one request of the largest size that it has seen, so that it can serve during an outage of the store. Both are limited to its
+equal part of `idleShare` of what all holders hold. When this limit alone decided what an idle holder held, crashes used up
+budgets with hardly any demand: ten crashes of a single host took 67 of 100 tokens (`rights-after-deaths`).
 
 The entry host on a platform uses this policy: its holders are hosts, which crash more often than both hosts of a pair of
 `deckwheeld` (`holdAheadByShare`) at once, and what a crashed host held stays charged.
--- a/packages/ledger/src/lib/decide-claim.ts
+++ b/packages/ledger/src/lib/decide-claim.ts
@@ -25,7 +25,8 @@
 
 const replyShort = (missing: number): Decision => ({ops: [], reply: {type: 'short', missing}});
 
-// A holder whose predecessor lost its ledger with both hosts of the pair does not know earlier claims. A key of unknown age may be one of those.
+// A holder whose predecessor lost its ledger with both hosts of the pair does not know earlier claims. A key of
+// unknown age may belong to such a claim.
 const mayMissEarlierClaim = (ledger: Ledger, request: ClaimRequest): boolean =>
 	ledger.completeSince > 0 && (request.keyMadeAt ?? 0) < ledger.completeSince;
 
--- a/packages/ledger/src/replica/step-replica.ts
+++ b/packages/ledger/src/replica/step-replica.ts
@@ -9,12 +9,12 @@
 /**
 Computes a replica's next state and its effects for one event. Pure.
 
-The safety of claims and rights rests on two rules, neither of which reads a clock:
+Within a generation, the safety of claims and rights rests on two rules, neither of which reads a clock:
 a primary sends a reply only once its backup holds every entry that the reply depends on,
 and the store lets only one successor of an epoch win. The successor starts with every entry
 that it acknowledged as the backup, and from then on acknowledges no entry of the old epoch.
-So the successor knows every entry that a reply of the old primary depended on, and the old
-primary cannot send a further reply.
+So the successor knows every entry that a reply of the old primary depends on, whenever the old
+primary sends that reply.
 
 @param now Wall-clock time in ms.
 */
--- a/packages/ledger/src/test/decide.test.ts
+++ b/packages/ledger/src/test/decide.test.ts
@@ -161,8 +161,8 @@
 
 A primary asks another hall for rights. Before the reply arrives, both hosts of the primary's pair are lost, and the hall's next
 generation begins with an empty ledger on the same host. The reply carries the total that was ever given to the earlier
-generation. If the `receive` request did not name the holder that asked, the next generation would credit itself with the whole total, although
-the rights that the earlier generation held stay charged.
+generation. If the `receive` request did not name the holder that asked, the next generation would credit itself with the whole
+total, although the rights that the earlier generation held stay charged.
 
 The model of step-replica.test.ts covers this fault too, since it delivers a reply to the hall's current primary and not only to
 the holder that asked (without the check it fails with SEED=1 after 2,085 sequences).
--- a/packages/ledger/src/test/lib/create-ledger-model.ts
+++ b/packages/ledger/src/test/lib/create-ledger-model.ts
@@ -267,15 +267,15 @@
 		host.replica = newReplica(host.id, 0);
 	};
 
-	// The primary of another hall asks this host's holder for rights. The reply may arrive late, twice, or never (`receive`).
-	const requestRights = (host: Host, tokens: number): void => {
-		const borrower = hosts.find(other => other.hall !== host.hall && other.replica.role === 'primary' && !other.isCrashed);
+	// The primary of another hall asks the lender for rights. The reply may arrive late, twice, or never (`receive`).
+	const requestRights = (lender: Host, tokens: number): void => {
+		const borrower = hosts.find(other => other.hall !== lender.hall && other.replica.role === 'primary' && !other.isCrashed);
 		if (!borrower) {
 			return;
 		}
 
 		const {holder} = borrower.replica.ledger;
-		submit(host, {
+		submit(lender, {
 			type: 'want', budget, holder, tokens,
 		}, reply => {
 			if (reply.type === 'given') {
--- a/packages/ledger/src/test/step-replica.test.ts
+++ b/packages/ledger/src/test/step-replica.test.ts
@@ -35,13 +35,13 @@
 
 test('a host that becomes primary without the pair\'s ledger does not serve', t => {
 	const {replica} = stepReplica(newReplica('a~1', 0), {type: 'configure', pair: {epoch: 1, generation: 1, primary: 'b~1'}, holder: 'x#1'}, 1);
-	const named = stepReplica(replica, {
+	const configured = stepReplica(replica, {
 		type: 'configure',
 		pair: {
 			epoch: 2, generation: 1, primary: 'a~1', backup: 'b~1',
 		},
 		holder: 'x#1',
 	}, 1);
-	const lookup = stepReplica(named.replica, {type: 'request', id: 1, request: {type: 'lookup', budget: 'b', key: 'k'}}, 1);
+	const lookup = stepReplica(configured.replica, {type: 'request', id: 1, request: {type: 'lookup', budget: 'b', key: 'k'}}, 1);
 	t.like(lookup.effects[0], {type: 'reply', reply: {type: 'not_owner'}});
 });
