--- a/packages/ledger/src/claims/settle-request.ts
+++ b/packages/ledger/src/claims/settle-request.ts
@@ -13,7 +13,7 @@
 	readonly outcome: RunOutcome;
 	/** Tokens that the endpoint served; counts only when the outcome is `finished` or `failed`. */
 	readonly served: number;
-	/** True when the request gets no further run: then a failed run is billed for what the endpoint served. */
+	/** True when the caller's request gets no further run from the runner: then a failed run is billed for what the endpoint served. */
 	readonly final: boolean;
 	/** The complete response of a finished run. */
 	readonly answer?: Answer;
