--- a/packages/routing/src/scoring/score-by-round-robin.ts
+++ b/packages/routing/src/scoring/score-by-round-robin.ts
@@ -1,10 +1,10 @@
 import type {EndpointRequest} from '../endpoints/endpoint-request.js';
 import type {ScoreEndpoint} from './score-endpoint.js';
 
-/** Round robin: whoever had the fewest requests is next. A baseline; it lets endpoints queue without bound. */
-export const scoreByRoundRobin: ScoreEndpoint<EndpointRequest> = ({info, started}) => ({
+/** Round robin: prefers the endpoint that this host has sent the fewest requests to. A baseline for comparison; it lets requests queue at endpoints without a bound. */
+export const scoreByRoundRobin: ScoreEndpoint<EndpointRequest> = ({info, startedCount}) => ({
 	endpoint: info.id,
-	cost: started,
+	cost: startedCount,
 	hasCapacity: true,
-	reason: () => `turn=${started}`,
+	reason: () => `turn=${startedCount}`,
 });
