--- a/packages/entry/src/lib/relaying/once-response-closed.ts
+++ b/packages/entry/src/lib/relaying/once-response-closed.ts
@@ -1,24 +1,24 @@
 import type {ServerResponse} from 'node:http';
 
 /**
-Calls back once an answer ended, or its connection did, whichever comes first. An answer that waits behind another one of its connection
-never hears of that connection's end by itself.
+Calls `callback` once, when a response or its connection is closed, whichever comes first. The connection has to be listened to as well:
+a pipelined response that waits behind another one emits no 'close' when the connection closes.
 
-@returns What stops it.
+@returns A function that cancels the callback.
 */
 export const onceResponseClosed = (res: ServerResponse, callback: () => void): () => void => {
 	const {socket} = res.req;
-	/** A listener that is taken off while its event is told is still called. */
-	let isOver = false;
+	/** A listener that is removed while its event is being emitted is still called. */
+	let isDone = false;
 
 	const cancel = (): void => {
-		isOver = true;
+		isDone = true;
 		res.removeListener('close', onClose);
 		socket.removeListener('close', onClose);
 	};
 
 	const onClose = (): void => {
-		if (!isOver) {
+		if (!isDone) {
 			cancel();
 			callback();
 		}
--- a/packages/entry/src/lib/relaying/relay-end.ts
+++ b/packages/entry/src/lib/relaying/relay-end.ts
@@ -1,8 +1,9 @@
-/** How the relay of a stream ended, and the position it reached. */
+/** How the relay of a stream to its caller ended, and how far it got. */
 export type RelayEnd = {
+	/** `whole`: the endpoint ended the stream after a complete event. `broken`: the stream broke off before. `caller_left`: the caller closed its connection. */
 	readonly type: 'whole' | 'broken' | 'caller_left';
-	/** The id of the last event that the caller got. */
+	/** The id of the last event that was relayed to the caller, by this run or an earlier one; `undefined` if none had an id. */
 	readonly lastId: string | undefined;
-	/** Whole events relayed by this run. */
+	/** Number of complete events that this run relayed. */
 	readonly count: number;
 };
--- a/packages/entry/src/lib/relaying/relay-stream.ts
+++ b/packages/entry/src/lib/relaying/relay-stream.ts
@@ -1,54 +1,55 @@
 import {Buffer} from 'node:buffer';
 import type {IncomingMessage, ServerResponse} from 'node:http';
-import type {EventScanner} from './event-scanner.js';
+import type {ScanState} from './scan-state.js';
 import type {RelayEnd} from './relay-end.js';
 import {scanEvents} from './scan-events.js';
 
 type RelayOptions = {
-	/** The id of the last event that the caller got, from an earlier run. */
+	/** The id of the last event that earlier runs of the request relayed to the caller; `undefined` if there is none. */
 	readonly lastId: string | undefined;
-	/** Called with each arrival of bytes. */
+	/** Called when bytes arrive from the endpoint. */
 	readonly onChunk: () => void;
-	/** Called before events are passed on. */
+	/** Called each time before events are written to the caller. */
 	readonly beforeWrite: () => void;
 };
 
 /**
-Passes the whole events of a stream on to the caller as they come.
+Relays a stream of server-sent events from an endpoint to the caller, each event once it is complete. Reading from the endpoint pauses
+while the caller reads too slowly. Never rejects.
 
-The caller's answer is left open, so that another run can go on with it.
+The response to the caller is left open, so that another run of the request can continue the stream.
 
 */
-export const relayStream = async (upstream: IncomingMessage, res: ServerResponse, {lastId, onChunk, beforeWrite}: RelayOptions): Promise<RelayEnd> => new Promise(resolve => {
-	let scanner: EventScanner = {rest: Buffer.alloc(0), lastId, count: 0};
+export const relayStream = async (response: IncomingMessage, res: ServerResponse, {lastId, onChunk, beforeWrite}: RelayOptions): Promise<RelayEnd> => new Promise(resolve => {
+	let state: ScanState = {remainder: Buffer.alloc(0), lastId, count: 0};
 	const finish = (type: RelayEnd['type']): void => {
-		resolve({type, lastId: scanner.lastId, count: scanner.count});
+		resolve({type, lastId: state.lastId, count: state.count});
 	};
 
 	const resume = (): void => {
-		upstream.resume();
+		response.resume();
 	};
 
-	upstream.on('data', (chunk: Uint8Array) => {
+	response.on('data', (chunk: Uint8Array) => {
 		onChunk();
-		const scan = scanEvents(scanner, chunk);
-		scanner = scan.scanner;
-		if (scan.whole.length > 0) {
+		const scan = scanEvents(state, chunk);
+		state = scan.state;
+		if (scan.completeBytes.length > 0) {
 			beforeWrite();
-			if (!res.write(scan.whole)) {
-				upstream.pause();
+			if (!res.write(scan.completeBytes)) {
+				response.pause();
 				res.once('drain', resume);
 			}
 		}
 	});
-	upstream.on('end', () => {
-		finish(upstream.complete && scanner.rest.length === 0 ? 'whole' : 'broken');
+	response.on('end', () => {
+		finish(response.complete && state.remainder.length === 0 ? 'whole' : 'broken');
 	});
-	upstream.on('close', () => {
+	response.on('close', () => {
 		finish('broken');
 	});
 	res.on('close', () => {
 		finish('caller_left');
-		upstream.destroy();
+		response.destroy();
 	});
 });
--- a/packages/entry/src/lib/relaying/response-writer.ts
+++ b/packages/entry/src/lib/relaying/response-writer.ts
@@ -1,12 +1,13 @@
 import type {IncomingMessage} from 'node:http';
 
-/** Writes an endpoint's answer to the caller. */
+/** Writes the response of an endpoint to the caller. */
 export type ResponseWriter = {
-	/** Whether the caller has got a part of an answer. */
+	/** Whether the head of a response to the caller has been written. */
 	readonly hasBegun: () => boolean;
-	/** Writes the head of a stream, unless an earlier run did. */
+	/** Writes the head of a stream, unless an earlier run of the request did. */
 	readonly beginStream: (response: IncomingMessage) => void;
+	/** Ends the response to the caller after the last event of a stream. */
 	readonly endStream: () => void;
-	/** Writes a whole answer with its length. */
+	/** Writes a complete response, with its length. */
 	readonly writeWhole: (response: IncomingMessage, body: Uint8Array) => void;
 };
--- /dev/null
+++ b/packages/entry/src/lib/relaying/scan-state.ts
@@ -0,0 +1,9 @@
+/** How far a stream of server-sent events has been scanned. */
+export type ScanState = {
+	/** The bytes after the last complete event. */
+	readonly remainder: Uint8Array;
+	/** The id of the latest complete event that has one; `undefined` if none has. */
+	readonly lastId: string | undefined;
+	/** Number of complete events. */
+	readonly count: number;
+};
--- a/packages/entry/src/lib/sending/attempt-result.ts
+++ b/packages/entry/src/lib/sending/attempt-result.ts
@@ -1,14 +1,14 @@
 import type {IncomingMessage} from 'node:http';
 
-/** How one try at one endpoint began. */
+/** The result of sending a request to an endpoint, up to the head of the response. */
 export type AttemptResult =
-	/** An answer began. */
+	/** The head of a response arrived; its body is still to be read. */
 	| {readonly type: 'answered'; readonly response: IncomingMessage}
-	/** The endpoint said that it did not run the request. */
+	/** The endpoint replied that it did not run the request. */
 	| {readonly type: 'not_run'}
-	/** Another process has the endpoint's address, and did not run the request. */
+	/** Another process listens at the endpoint's address (status 421), and did not run the request. */
 	| {readonly type: 'misdirected'}
-	/** No byte reached the endpoint. */
+	/** No connection came up, so no byte of the request reached the endpoint. `reason`: the code or message of the error. */
 	| {readonly type: 'unsent'; readonly reason: string}
-	/** The request was sent, and what came of it is not known. */
+	/** The connection was up, and no usable response came: the endpoint may have run the request. `reason`: the code or message of the error. */
 	| {readonly type: 'lost'; readonly reason: string};
--- a/packages/entry/src/lib/sending/connection-pool.ts
+++ b/packages/entry/src/lib/sending/connection-pool.ts
@@ -1,11 +1,11 @@
 import type {Agent} from 'node:http';
 
-/** Kept connections to endpoints. */
+/** Keep-alive connections to endpoints. `endpoint` is the id of an endpoint, `address` an `ip:port`. */
 export type ConnectionPool = {
-	/** An agent for one request to an endpoint. It takes a kept connection or opens a new one. */
-	readonly agentFor: (endpoint: string, address: string) => Agent;
+	/** Creates the node:http agent for one request to an endpoint. The agent reuses an idle connection or opens a new one. */
+	readonly createAgent: (endpoint: string, address: string) => Agent;
 	/** Closes the idle connections to an endpoint. */
 	readonly closeIdle: (endpoint: string) => void;
-	/** Closes idle connections to endpoints that are not among these. */
+	/** Closes the idle connections to all other endpoints than these. */
 	readonly keepOnly: (endpoints: ReadonlySet<string>) => void;
 };
--- a/packages/entry/src/lib/sending/create-connection-pool.ts
+++ b/packages/entry/src/lib/sending/create-connection-pool.ts
@@ -4,45 +4,45 @@
 import {createIdleSockets} from './create-idle-sockets.js';
 import {openSocket} from './open-socket.js';
 
-/** The default port of the protocol, which node:http leaves out of a `Host` header. */
+/** The default port of HTTP, which node:http leaves out of the `Host` header. */
 const httpPort = 80;
 
 /**
-Keeps connections to endpoints.
+Creates a pool of keep-alive connections to endpoints, which is empty.
 
-node:http's own agent is not used, since bytes that arrive on an idle connection have to end it (`createIdleSockets`).
+The pool replaces the agent of node:http, which does not close an idle connection when bytes arrive on it (`createIdleSockets` does).
 
-@param elapsed Elapsed ms.
+@param elapsed Elapsed ms, the time in which this host is suspended included.
 */
 export const createConnectionPool = (elapsed: () => number): ConnectionPool => {
-	const idle = createIdleSockets(elapsed);
+	const idleSockets = createIdleSockets(elapsed);
 
-	const open = (endpoint: string, address: string): Socket => {
+	const openConnection = (endpoint: string, address: string): Socket => {
 		const socket = openSocket(address);
 		socket.on('free', () => {
-			// Node:http would hand what comes next to the request that is over.
+			// Node:http delivers what happens on a socket to the request in `_httpMessage`; that request has ended.
 			(socket as Socket & {_httpMessage?: unknown})._httpMessage = undefined;
-			idle.keep(endpoint, socket);
+			idleSockets.add(endpoint, socket);
 		});
 		socket.on('close', () => {
-			idle.drop(endpoint, socket);
+			idleSockets.remove(endpoint, socket);
 		});
 		return socket;
 	};
 
 	return {
-		agentFor: (endpoint, address) => ({
+		createAgent: (endpoint, address) => ({
 			keepAlive: true,
 			protocol: 'http:',
 			defaultPort: httpPort,
 			options: {},
 			addRequest(request: ClientRequest) {
-				const kept = idle.take(endpoint);
-				request.reusedSocket = kept !== undefined;
-				request.onSocket(kept ?? open(endpoint, address));
+				const idleSocket = idleSockets.take(endpoint);
+				request.reusedSocket = idleSocket !== undefined;
+				request.onSocket(idleSocket ?? openConnection(endpoint, address));
 			},
 		}) as unknown as Agent,
-		closeIdle: idle.closeOf,
-		keepOnly: idle.keepOnly,
+		closeIdle: idleSockets.close,
+		keepOnly: idleSockets.keepOnly,
 	};
 };
--- a/packages/entry/src/lib/sending/create-idle-sockets.ts
+++ b/packages/entry/src/lib/sending/create-idle-sockets.ts
@@ -1,43 +1,45 @@
 import type {Socket} from 'node:net';
 
 /**
-Endpoints close idle connections at a time of their own choosing; a connection is not used near that time, in ms. Below
-the five seconds after which node:http servers close them.
+A connection that has been idle for this long, in ms, is not reused: the endpoint may be closing it just as a request is sent on it.
+Servers of node:http close idle connections after five seconds; this is below.
 */
 const maxIdleMs = 4000;
 
 type IdleSocket = {
 	readonly socket: Socket;
-	/** Elapsed ms. */
+	/** When the socket became idle, in elapsed ms. */
 	readonly idleSince: number;
 };
 
-/** Connections that no request uses, by endpoint. */
+/** Sockets that no request uses. `endpoint` is the id of the endpoint that a socket is connected to. */
 type IdleSockets = {
-	/** The one that was used last, if it may still be used. */
+	/** Takes out the most recently used socket that can still be used, and destroys unusable ones on the way; `undefined` if there is none. */
 	readonly take: (endpoint: string) => Socket | undefined;
-	readonly keep: (endpoint: string, socket: Socket) => void;
-	readonly drop: (endpoint: string, socket: Socket) => void;
-	/** Closes those of an endpoint. */
-	readonly closeOf: (endpoint: string) => void;
-	/** Closes those of endpoints that are not among these. */
+	/** Adds a socket whose request has ended. */
+	readonly add: (endpoint: string, socket: Socket) => void;
+	/** Removes a socket that was closed. */
+	readonly remove: (endpoint: string, socket: Socket) => void;
+	/** Destroys the idle sockets of an endpoint. */
+	readonly close: (endpoint: string) => void;
+	/** Destroys the idle sockets of all other endpoints than these. */
 	readonly keepOnly: (endpoints: ReadonlySet<string>) => void;
 };
 
 /**
-Creates an empty store of connections. Bytes that arrive on an idle one end it: they are a surplus answer, and would be
-read as the answer to the next request.
+Creates an empty set of idle sockets. A socket on which bytes arrive while it is idle is destroyed: the bytes belong to no request
+and would be read as the response to the next one.
 
-@param elapsed Elapsed ms: endpoints close idle connections while this machine is suspended as well.
+@param elapsed Elapsed ms, the time in which this host is suspended included: endpoints close idle connections in that time as well.
 */
 export const createIdleSockets = (elapsed: () => number): IdleSockets => {
-	const idle = new Map<string, IdleSocket[]>();
+	const socketsByEndpoint = new Map<string, IdleSocket[]>();
 
 	const isUsable = ({socket, idleSince}: IdleSocket): boolean =>
 		!socket.destroyed && socket.writable && socket.readableLength === 0 && elapsed() - idleSince < maxIdleMs;
 
-	const closeOf = (endpoint: string): void => {
-		for (const {socket} of idle.get(endpoint) ?? []) {
+	const close = (endpoint: string): void => {
+		for (const {socket} of socketsByEndpoint.get(endpoint) ?? []) {
 			socket.destroy();
 		}
 	};
@@ -45,20 +47,20 @@
 	return {
 		take(endpoint) {
 			for (;;) {
-				const kept = idle.get(endpoint)?.pop();
-				if (!kept) {
+				const candidate = socketsByEndpoint.get(endpoint)?.pop();
+				if (!candidate) {
 					return undefined;
 				}
 
-				kept.socket.removeAllListeners('data');
-				if (isUsable(kept)) {
-					return kept.socket;
+				candidate.socket.removeAllListeners('data');
+				if (isUsable(candidate)) {
+					return candidate.socket;
 				}
 
-				kept.socket.destroy();
+				candidate.socket.destroy();
 			}
 		},
-		keep(endpoint, socket) {
+		add(endpoint, socket) {
 			if (socket.destroyed || !socket.writable) {
 				return;
 			}
@@ -66,23 +68,23 @@
 			socket.once('data', () => {
 				socket.destroy();
 			});
-			const kept = idle.get(endpoint) ?? [];
-			kept.push({socket, idleSince: elapsed()});
-			idle.set(endpoint, kept);
+			const sockets = socketsByEndpoint.get(endpoint) ?? [];
+			sockets.push({socket, idleSince: elapsed()});
+			socketsByEndpoint.set(endpoint, sockets);
 		},
-		drop(endpoint, socket) {
-			const kept = idle.get(endpoint)?.filter(entry => entry.socket !== socket) ?? [];
-			if (kept.length > 0) {
-				idle.set(endpoint, kept);
+		remove(endpoint, socket) {
+			const remaining = socketsByEndpoint.get(endpoint)?.filter(entry => entry.socket !== socket) ?? [];
+			if (remaining.length > 0) {
+				socketsByEndpoint.set(endpoint, remaining);
 			} else {
-				idle.delete(endpoint);
+				socketsByEndpoint.delete(endpoint);
 			}
 		},
-		closeOf,
+		close,
 		keepOnly(endpoints) {
-			for (const endpoint of idle.keys()) {
+			for (const endpoint of socketsByEndpoint.keys()) {
 				if (!endpoints.has(endpoint)) {
-					closeOf(endpoint);
+					close(endpoint);
 				}
 			}
 		},
--- a/packages/entry/src/lib/sending/endpoint-notice.ts
+++ b/packages/entry/src/lib/sending/endpoint-notice.ts
@@ -1,9 +1,9 @@
-/** What an endpoint says of itself in the head of an answer. */
+/** What an endpoint announces about itself in the head of a response. */
 export type EndpointNotice = {
-	/** It ends before long, and wants no new request. */
+	/** Whether the endpoint is about to end and accepts no new request. */
 	readonly isLeaving: boolean;
-	/** Until when it wants no request from this host, in monotonic ms; `undefined` where it does not ask for rest. */
+	/** When the backoff that the endpoint asked this host for ends, in monotonic ms; `undefined` if it asked for none. */
 	readonly restUntil: number | undefined;
-	/** Requests a second that it takes from all hosts together; `undefined` where it names no limit. */
+	/** Requests per second that the endpoint accepts from all hosts together; `undefined` if it states no limit. */
 	readonly requestLimit: number | undefined;
 };
--- a/packages/entry/src/lib/sending/forwarded-headers.ts
+++ b/packages/entry/src/lib/sending/forwarded-headers.ts
@@ -3,20 +3,26 @@
 import {copyHeaders} from './copy-headers.js';
 
 type Inputs = {
+	/** The headers of the caller's request: names and values in turn, as node:http has them in `rawHeaders`. */
 	readonly raw: readonly string[];
 	readonly headerNames: HeaderNames;
 	readonly endpoint: ListedEndpoint;
+	/** The name of the caller's organisation; `undefined` if none is known, on a public route or in a fleet without organisations. */
 	readonly organisation: string | undefined;
+	/** Ms until the deadline of the request. */
 	readonly timeLeftMs: number;
 	readonly bodyBytes: number;
-	/** Where a stream is to be taken up; `undefined` leaves what the caller said. */
+	/** The id of the event after which a stream is to be resumed; `undefined` keeps the header that the caller sent. */
 	readonly lastEventId: string | undefined;
 	readonly hasBody: boolean;
 };
 
-/** The headers that an endpoint gets: the caller's, less what concerns this hop, with what this host adds. */
+/**
+Builds the headers of a request to an endpoint, as names and values in turn: those of the caller, without the headers that concern the
+connection to this host, that callers may not set or that this host sets itself.
+*/
 export const forwardedHeaders = ({raw, headerNames, endpoint, organisation, timeLeftMs, bodyBytes, lastEventId, hasBody}: Inputs): readonly string[] => {
-	const dropped = new Set([
+	const droppedNames = new Set([
 		...headerNames.reserved,
 		headerNames.apiKey,
 		headerNames.organisation,
@@ -26,7 +32,7 @@
 		'expect',
 		...(lastEventId === undefined ? [] : [headerNames.lastEventId]),
 	]);
-	const headers = copyHeaders(raw, dropped);
+	const headers = copyHeaders(raw, droppedNames);
 	headers.push(headerNames.deadline, String(Math.max(1, Math.floor(timeLeftMs))), headerNames.expectedEndpoint, endpoint.instance);
 	if (organisation !== undefined) {
 		headers.push(headerNames.organisation, organisation);
--- a/packages/entry/src/lib/sending/read-notice.ts
+++ b/packages/entry/src/lib/sending/read-notice.ts
@@ -9,22 +9,25 @@
 	readonly headers: IncomingHttpHeaders;
 };
 
-/** A longer rest is asked for by mistake, or the endpoint is better taken off the list: in ms. One request then finds out. */
-const longestRestMs = 600_000;
+/**
+The longest backoff that an endpoint is granted, in ms. A longer one is asked for by mistake, or by an endpoint that should be taken off
+the list instead. After this time one request finds out whether the endpoint still asks for a backoff.
+*/
+const maxBackoffMs = 600_000;
 
-/** In seconds, fractions included. Dates are not taken: clocks differ. */
-const restMsOf = (text: string | undefined): number => {
-	const seconds = Number(text);
-	return Number.isFinite(seconds) && seconds > 0 ? Math.min(longestRestMs, seconds * 1000) : 0;
+/** Reads a `Retry-After` header in seconds, fractions included, as ms; 0 if it asks for no backoff. Dates are ignored, since clocks differ between hosts. */
+const backoffMsOf = (retryAfter: string | undefined): number => {
+	const seconds = Number(retryAfter);
+	return Number.isFinite(seconds) && seconds > 0 ? Math.min(maxBackoffMs, seconds * 1000) : 0;
 };
 
-/** Reads what an endpoint says of itself; `undefined` when it says nothing. `now` is monotonic ms. Pure. */
+/** Reads what an endpoint announces in the head of a response; `undefined` if it announces nothing. `now` is monotonic ms. Pure. */
 export const readNotice = (head: Head, headerNames: Pick<HeaderNames, 'leaving' | 'requestLimit' | 'stamp' | 'notRun'>, now: number): EndpointNotice | undefined => {
 	const {statusCode, headers} = head;
 	const isLeaving = headers[headerNames.leaving] === '1';
-	const restMs = statusCode === httpStatus.serviceUnavailable ? restMsOf(headers['retry-after']) : 0;
+	const backoffMs = statusCode === httpStatus.serviceUnavailable ? backoffMsOf(headers['retry-after']) : 0;
 	const requestLimit = readRequestLimit(headers, headerNames)?.perSecond;
-	return isLeaving || restMs > 0 || requestLimit !== undefined
-		? {isLeaving, restUntil: restMs > 0 ? now + restMs : undefined, requestLimit}
+	return isLeaving || backoffMs > 0 || requestLimit !== undefined
+		? {isLeaving, restUntil: backoffMs > 0 ? now + backoffMs : undefined, requestLimit}
 		: undefined;
 };
--- a/packages/entry/src/lib/sending/read-request-limit.ts
+++ b/packages/entry/src/lib/sending/read-request-limit.ts
@@ -1,23 +1,25 @@
 import type {IncomingHttpHeaders} from 'node:http';
 import type {HeaderNames} from '../../adapter/header-names.js';
 
-/** What the head of an answer says of its endpoint's limit. */
-type LimitStatement = {
-	/** Requests a second that it takes from all hosts together; `undefined` where it names no limit. */
+/** What the head of a response says about the endpoint's request limit. */
+type StatedLimit = {
+	/** Requests per second that the endpoint accepts from all hosts together; `undefined` if it has no limit. */
 	readonly perSecond: number | undefined;
 };
 
 const decimalNumber = /^\d+(\.\d+)?$/;
 
 /**
-Reads what an endpoint says of its limit; `undefined` where that says nothing: a value that is no decimal number, and the head of an
-answer that may not be the endpoint's own. Pure.
+Reads an endpoint's request limit from the headers of a response. A response without the limit header says that the endpoint has no limit,
+if the endpoint's stamp or its `notRun` header proves that the endpoint sent it. Pure.
+
+@returns `undefined` if nothing is known: the limit is not a decimal number, or the response may come from another process.
 */
-export const readRequestLimit = (headers: IncomingHttpHeaders, names: Pick<HeaderNames, 'requestLimit' | 'stamp' | 'notRun'>): LimitStatement | undefined => {
+export const readRequestLimit = (headers: IncomingHttpHeaders, names: Pick<HeaderNames, 'requestLimit' | 'stamp' | 'notRun'>): StatedLimit | undefined => {
 	const text = headers[names.requestLimit];
 	if (text === undefined) {
-		const isOwn = headers[names.stamp] !== undefined || headers[names.notRun] !== undefined;
-		return isOwn ? {perSecond: undefined} : undefined;
+		const isFromEndpoint = headers[names.stamp] !== undefined || headers[names.notRun] !== undefined;
+		return isFromEndpoint ? {perSecond: undefined} : undefined;
 	}
 
 	return typeof text === 'string' && decimalNumber.test(text) ? {perSecond: Number(text)} : undefined;
--- a/packages/entry/src/lib/sending/send-attempt.ts
+++ b/packages/entry/src/lib/sending/send-attempt.ts
@@ -7,13 +7,14 @@
 import type {ConnectionPool} from './connection-pool.js';
 
 /**
-A request on a kept connection that ends without a byte of an answer after this long, in ms, casts doubt on the other
-connections that are kept to its endpoint: what silenced one has mostly silenced them all. Closing them costs a new
-connection each; an endpoint that is only slow costs as little.
+If a request on a reused connection has got no response head after this long, in ms, when it ends, the idle connections to its endpoint
+are closed: what silenced one connection has mostly silenced them all. Closing them costs one new connection each, also when the
+endpoint was only slow.
 */
-const doubtAfterMs = 1000;
+const silentAfterMs = 1000;
 
-const judge = (response: IncomingMessage, id: string, headerNames: HeaderNames): AttemptResult => {
+/** Tells from the head of a response who sent it and whether the request was run. Other responses than `answered` are discarded. */
+const classifyResponse = (response: IncomingMessage, id: string, headerNames: HeaderNames): AttemptResult => {
 	const {headers, statusCode} = response;
 	if (headers[headerNames.requestId] !== id && headers[headerNames.requestId] !== undefined) {
 		response.destroy();
@@ -33,21 +34,25 @@
 	return {type: 'answered', response};
 };
 
-/** Sends a request to an endpoint and waits for the head of its answer. */
+/**
+Sends a request to an endpoint and waits for the head of the response. Never rejects.
+
+@param headerNames Names the headers that identify the request and that say that it was not run.
+*/
 export const sendAttempt = async (attempt: Attempt, pool: ConnectionPool, headerNames: HeaderNames): Promise<AttemptResult> => new Promise(resolve => {
 	const {endpoint, id, method, path, headers, body, signal, connectBy, onConnect, onHead} = attempt;
 	const sentAt = performance.now();
 	let isConnected = false;
-	let answer: IncomingMessage | undefined;
+	let receivedResponse: IncomingMessage | undefined;
 	const req = sendRequest({
 		method,
 		path,
-		agent: pool.agentFor(endpoint.id, endpoint.address),
+		agent: pool.createAgent(endpoint.id, endpoint.address),
 		headers: headers as string[],
 		signal,
 	});
 	const connectTimer = setTimeout(() => {
-		// A connection that came while this process was busy elsewhere is reported before this.
+		// If the connection came up while this process was busy, its 'connect' event is emitted before this callback.
 		setImmediate(() => {
 			if (!isConnected) {
 				onConnect(performance.now() - sentAt);
@@ -62,21 +67,21 @@
 		};
 
 		if (socket.connecting) {
-			const startedAt = performance.now();
+			const connectStartedAt = performance.now();
 			socket.once('connect', () => {
 				markConnected();
-				onConnect(performance.now() - startedAt);
+				onConnect(performance.now() - connectStartedAt);
 			});
 		} else {
 			markConnected();
 		}
 	});
 	req.on('response', response => {
-		// A connection may break later on; whoever reads the answer hears of it.
+		// The connection may break while the response is read. The reader of the response notices by 'close'; an 'error' without a listener would be thrown.
 		response.on('error', () => undefined);
-		answer = response;
-		const result = judge(response, id, headerNames);
-		// Another process at the endpoint's address speaks for itself.
+		receivedResponse = response;
+		const result = classifyResponse(response, id, headerNames);
+		// What another process at the endpoint's address announces says nothing about the endpoint.
 		if (result.type === 'answered' || result.type === 'not_run') {
 			onHead(response);
 		}
@@ -85,14 +90,14 @@
 	});
 	req.on('error', error => {
 		clearTimeout(connectTimer);
-		// An answer without a length would else end as if whole, though its connection was reset.
-		answer?.destroy(error);
+		// After a reset of the connection, node:http would end a response without a length as if it were complete.
+		receivedResponse?.destroy(error);
 		const reason = (error as NodeJS.ErrnoException).code ?? error.message;
 		resolve(isConnected ? {type: 'lost', reason} : {type: 'unsent', reason});
 	});
 	req.on('close', () => {
 		clearTimeout(connectTimer);
-		if (!answer && req.reusedSocket && performance.now() - sentAt >= doubtAfterMs) {
+		if (!receivedResponse && req.reusedSocket && performance.now() - sentAt >= silentAfterMs) {
 			pool.closeIdle(endpoint.id);
 		}
 
--- a/packages/entry/src/lib/sending/track-attempt.ts
+++ b/packages/entry/src/lib/sending/track-attempt.ts
@@ -2,30 +2,30 @@
 import type {HallMonitor} from '../hall-health/hall-monitor.js';
 
 type Options = {
-	/** Monotonic ms. */
+	/** When the attempt began, in monotonic ms. */
 	readonly sentAt: number;
-	/** Whether the request may run at another endpoint if this one's hall is lost. */
+	/** Whether the request may be retried at another endpoint if the hall of this one becomes unreachable. */
 	readonly mayMove: boolean;
-	/** Ends the whole request. */
+	/** Aborts the whole request. */
 	readonly signal: AbortSignal;
 };
 
 type TrackedAttempt = {
-	/** Ends this try. */
+	/** Aborts this attempt: the request is over, or the hall is unreachable. */
 	readonly signal: AbortSignal;
-	/** Notes that the try has ended. */
+	/** Tells the hall monitor that the attempt has ended. */
 	readonly end: () => void;
 };
 
-/** Makes a try known to the watch of halls, so that it ends when its endpoint's hall is lost. */
+/** Registers an attempt with the hall monitor, which aborts it when the hall of its endpoint becomes unreachable and the request may be retried elsewhere. */
 export const trackAttempt = (halls: HallMonitor, endpoint: ListedEndpoint, {sentAt, mayMove, signal}: Options): TrackedAttempt => {
-	const move = new AbortController();
+	const abandonController = new AbortController();
 	const abandon = (): void => {
-		move.abort();
+		abandonController.abort();
 	};
 
 	return {
-		signal: AbortSignal.any([signal, move.signal]),
+		signal: AbortSignal.any([signal, abandonController.signal]),
 		end: halls.open({endpoint, sentAt, abandon: mayMove ? abandon : undefined}),
 	};
 };
--- a/packages/entry/src/test/endpoint-notices.test.ts
+++ b/packages/entry/src/test/endpoint-notices.test.ts
@@ -1,14 +1,11 @@
 /**
-What was seen: requests went to an endpoint more than four seconds after an answer of it had said that it leaves; and an endpoint
-that had asked a host for three seconds of rest got three requests from it in that time, whose callers were told 503.
+Guards against requests to an endpoint that has announced in a response that it is leaving, or that has asked for a backoff.
 
-Order of events: an endpoint says in the head of an answer that it leaves, while the store is out of reach and the host's list
-still has it as ready; or it refuses a request with 503 and says for how long it wants none. The host passes the answer on and
-chooses the endpoint for the next request.
-
-Cause: what an endpoint says of itself reached a host by the store's list alone, and a refusal said nothing against it. Evidence:
-with each such answer logged, 40 of 40 requests went to the endpoint that leaves beside one that has room, and 40 of 40 were
-offered first to the one that asks for rest.
+An endpoint announces that it is leaving in the head of a response while the store is unreachable and the host's list still has the
+endpoint as ready; or it refuses a request with 503 and a `Retry-After`. A host that learned of this only from the store's list, and
+that held no refusal against an endpoint, chose the endpoint again for the next request: more than four seconds after the
+announcement, and three times within a backoff of three seconds, so that callers got 503. With such responses logged, 40 of 40 requests
+went to the leaving endpoint though another one had capacity, and 40 of 40 were sent first to the endpoint that had asked for a backoff.
 */
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import test from 'ava';
@@ -19,18 +16,18 @@
 import {startEndpoint, type Answer, type TestEndpoint} from './lib/start-endpoint.js';
 import {makeConfig, makeRoute, startHost} from './lib/start-host.js';
 
-const requests = 20;
+const requestCount = 20;
 
-const ok: Answer = (_req, res) => {
+const respondOk: Answer = (_req, res) => {
 	res.end('fine');
 };
 
-const leaving: Readonly<Record<string, Answer>> = {
-	'a whole answer'(_req, res) {
+const leavingResponses: Readonly<Record<string, Answer>> = {
+	'a complete response'(_req, res) {
 		res.setHeader(headerNames.leaving, '1');
 		res.end('fine');
 	},
-	'an error of its own'(_req, res) {
+	'a server error'(_req, res) {
 		res.writeHead(500, {[headerNames.leaving]: '1'});
 		res.end();
 	},
@@ -44,14 +41,14 @@
 	},
 };
 
-const askForRest = (seconds: string): Answer => (_req, res) => {
+const askForBackoff = (seconds: string): Answer => (_req, res) => {
 	res.writeHead(503, {[headerNames.notRun]: '1', 'retry-after': seconds});
 	res.end();
 };
 
 type Scope = {teardown: (end: () => Promise<void>) => void};
 
-const launch = async (t: Scope, answers: readonly Answer[], kind: 'repeatable' | 'stream' = 'repeatable') => {
+const startFleet = async (t: Scope, answers: readonly Answer[], kind: 'repeatable' | 'stream' = 'repeatable') => {
 	const clock = createHandClock();
 	const endpoints = await Promise.all(answers.map(async (answer, index) => startEndpoint(`e${index}`, answer)));
 	const host = await startHost(createMemoryRightsStore(), {now: clock.now, schedule: clock.schedule});
@@ -62,14 +59,14 @@
 		}
 	});
 	host.entry.configure(makeConfig({routes: [makeRoute({kind, isResumable: kind === 'stream'})]}));
-	const list = (): void => {
+	const listEndpoints = (): void => {
 		host.entry.listEndpoints(endpoints.map(({listed}) => listed));
 	};
 
-	list();
-	const sendSome = async (): Promise<readonly number[]> => {
+	listEndpoints();
+	const sendRequests = async (): Promise<readonly number[]> => {
 		const statuses: number[] = [];
-		for (let i = 0; i < requests; i++) {
+		for (let i = 0; i < requestCount; i++) {
 			const {status} = await callHost(host.callers);
 			statuses.push(status);
 			await nextTurn();
@@ -79,69 +76,69 @@
 	};
 
 	return {
-		host, clock, endpoints, list, sendSome,
+		host, clock, endpoints, listEndpoints, sendRequests,
 	};
 };
 
-const seenBy = ({seen}: TestEndpoint): number => seen.length;
+const requestsSeenBy = ({seen}: TestEndpoint): number => seen.length;
 
-for (const [name, answer] of Object.entries(leaving)) {
-	test(`an endpoint that says in ${name} that it leaves gets no further request, whatever the list says`, async t => {
+for (const [name, answer] of Object.entries(leavingResponses)) {
+	test(`an endpoint that announces in ${name} that it is leaving gets no further request, whatever the list says`, async t => {
 		const kind = name.includes('stream') ? 'stream' : 'repeatable';
-		const {endpoints, list, sendSome} = await launch(t, [answer, ok], kind);
-		await sendSome();
-		list();
-		await sendSome();
-		t.is(seenBy(endpoints[0]!), 1);
+		const {endpoints, listEndpoints, sendRequests} = await startFleet(t, [answer, respondOk], kind);
+		await sendRequests();
+		listEndpoints();
+		await sendRequests();
+		t.is(requestsSeenBy(endpoints[0]!), 1);
 	});
 }
 
-test('its next life gets requests again', async t => {
-	const {host, endpoints, sendSome} = await launch(t, [leaving['a whole answer']!]);
-	await sendSome();
+test('the next incarnation of an endpoint that left gets requests', async t => {
+	const {host, endpoints, sendRequests} = await startFleet(t, [leavingResponses['a complete response']!]);
+	await sendRequests();
 	const {listed} = endpoints[0]!;
 	host.entry.listEndpoints([{...listed, id: 'e0 in its next life'}]);
-	const [status] = await sendSome();
+	const [status] = await sendRequests();
 	t.is(status, 200);
-	t.is(seenBy(endpoints[0]!), 2);
+	t.is(requestsSeenBy(endpoints[0]!), 2);
 });
 
-test('an endpoint that asks for rest is left alone until its end, and is asked again then', async t => {
-	const {clock, endpoints, list, sendSome} = await launch(t, [askForRest('30'), ok, ok, ok]);
-	await sendSome();
+test('an endpoint that asks for a backoff gets no request until the backoff ends, and gets one then', async t => {
+	const {clock, endpoints, listEndpoints, sendRequests} = await startFleet(t, [askForBackoff('30'), respondOk, respondOk, respondOk]);
+	await sendRequests();
 	clock.advance(29_000);
-	list();
-	t.deepEqual(new Set(await sendSome()), new Set([200]));
-	t.is(seenBy(endpoints[0]!), 1);
+	listEndpoints();
+	t.deepEqual(new Set(await sendRequests()), new Set([200]));
+	t.is(requestsSeenBy(endpoints[0]!), 1);
 	clock.advance(2000);
-	await sendSome();
-	t.is(seenBy(endpoints[0]!), 2);
+	await sendRequests();
+	t.is(requestsSeenBy(endpoints[0]!), 2);
 });
 
-test('when all ask for rest, callers are told at once when it is worth coming back', async t => {
-	const {host, clock, endpoints, sendSome} = await launch(t, [askForRest('30'), askForRest('40')]);
-	await sendSome();
+test('when all endpoints have asked for a backoff, callers are told at once when to retry', async t => {
+	const {host, clock, endpoints, sendRequests} = await startFleet(t, [askForBackoff('30'), askForBackoff('40')]);
+	await sendRequests();
 	clock.advance(10_000);
 	const {status, headers, body} = await callHost(host.callers);
 	t.is(status, 503);
 	t.is(Number(headers['retry-after']), 20);
 	t.like(JSON.parse(body), {error: {code: 'endpoints_resting', ran: 'not_run'}});
-	t.is(seenBy(endpoints[0]!) + seenBy(endpoints[1]!), 2);
+	t.is(requestsSeenBy(endpoints[0]!) + requestsSeenBy(endpoints[1]!), 2);
 });
 
 for (const value of ['-1', 'abc', '', '0', 'Infinity', 'Thu, 01 Jan 2099 00:00:00 GMT']) {
-	test(`a time that makes no sense is none: ${value}`, async t => {
-		const {endpoints, sendSome} = await launch(t, [askForRest(value), ok]);
-		await sendSome();
-		t.true(seenBy(endpoints[0]!) > 1);
+	test(`a Retry-After that is no positive number of seconds asks for no backoff: ${value}`, async t => {
+		const {endpoints, sendRequests} = await startFleet(t, [askForBackoff(value), respondOk]);
+		await sendRequests();
+		t.true(requestsSeenBy(endpoints[0]!) > 1);
 	});
 }
 
-test('a year of rest ends after ten minutes', async t => {
-	const {clock, endpoints, sendSome} = await launch(t, [askForRest('31536000'), ok]);
-	await sendSome();
-	t.is(seenBy(endpoints[0]!), 1);
+test('a backoff of a year ends after ten minutes', async t => {
+	const {clock, endpoints, sendRequests} = await startFleet(t, [askForBackoff('31536000'), respondOk]);
+	await sendRequests();
+	t.is(requestsSeenBy(endpoints[0]!), 1);
 	clock.advance(601_000);
-	await sendSome();
-	t.is(seenBy(endpoints[0]!), 2);
+	await sendRequests();
+	t.is(requestsSeenBy(endpoints[0]!), 2);
 });
--- a/packages/entry/src/test/scan-events.test.ts
+++ b/packages/entry/src/test/scan-events.test.ts
@@ -3,30 +3,30 @@
 import fc from 'fast-check';
 import {scanEvents} from '../lib/relaying/scan-events.js';
 
-const start = {rest: Buffer.alloc(0), lastId: undefined, count: 0};
+const initialState = {remainder: Buffer.alloc(0), lastId: undefined, count: 0};
 
-test('only whole events are given on, with the newest id among them', t => {
-	const {scanner, whole} = scanEvents(start, Buffer.from('id: 1\ndata: a\n\ndata: no id\n\nid: 3\nda'));
-	t.is(Buffer.from(whole).toString(), 'id: 1\ndata: a\n\ndata: no id\n\n');
-	t.deepEqual({...scanner, rest: Buffer.from(scanner.rest).toString()}, {rest: 'id: 3\nda', lastId: '1', count: 2});
+test('only the bytes of complete events are returned, with the newest id among them', t => {
+	const {state, completeBytes} = scanEvents(initialState, Buffer.from('id: 1\ndata: a\n\ndata: no id\n\nid: 3\nda'));
+	t.is(Buffer.from(completeBytes).toString(), 'id: 1\ndata: a\n\ndata: no id\n\n');
+	t.deepEqual({...state, remainder: Buffer.from(state.remainder).toString()}, {remainder: 'id: 3\nda', lastId: '1', count: 2});
 });
 
-test('how a stream is cut into chunks changes nothing', t => {
+test('the split of a stream into chunks changes neither the bytes, the count nor the last id', t => {
 	const event = fc.tuple(fc.nat(), fc.boolean()).map(([id, hasId]) => `${hasId ? `id: ${id}\n` : ''}data: piece\n\n`);
 	fc.assert(fc.property(fc.array(event), fc.array(fc.nat(20)), (events, sizes) => {
 		const bytes = Buffer.from(events.join(''));
-		let scanner: ReturnType<typeof scanEvents>['scanner'] = start;
-		let given = '';
-		let at = 0;
+		let state: ReturnType<typeof scanEvents>['state'] = initialState;
+		let output = '';
+		let offset = 0;
 		for (const size of [...sizes, bytes.length]) {
-			const scan = scanEvents(scanner, bytes.subarray(at, at + size));
-			scanner = scan.scanner;
-			given += Buffer.from(scan.whole).toString();
-			at += size;
+			const scan = scanEvents(state, bytes.subarray(offset, offset + size));
+			state = scan.state;
+			output += Buffer.from(scan.completeBytes).toString();
+			offset += size;
 		}
 
-		const atOnce = scanEvents(start, bytes);
-		return given === bytes.toString() && scanner.count === events.length && scanner.lastId === atOnce.scanner.lastId;
+		const unsplit = scanEvents(initialState, bytes);
+		return output === bytes.toString() && state.count === events.length && state.lastId === unsplit.state.lastId;
 	}));
 	t.pass();
 });
--- a/packages/entry/src/test/send-attempt.test.ts
+++ b/packages/entry/src/test/send-attempt.test.ts
@@ -7,11 +7,11 @@
 import {judgeEndpoint} from '../lib/request/judge-endpoint.js';
 import {headerNames} from './lib/header-names.js';
 
-const answerWith = async (answer: (socket: Socket) => void) => {
+const startServer = async (respond: (socket: Socket) => void) => {
 	const server = createServer(socket => {
 		socket.on('error', () => undefined);
 		socket.once('data', () => {
-			answer(socket);
+			respond(socket);
 		});
 	});
 	server.listen(0, '127.0.0.1');
@@ -34,9 +34,9 @@
 	onHead: () => undefined,
 }, createConnectionPool(() => performance.now()), headerNames);
 
-test('an answer without a length whose connection is reset is not whole', async t => {
+test('a response without a length whose connection is reset is not complete', async t => {
 	let reset: () => void = () => undefined;
-	const server = await answerWith(socket => {
+	const server = await startServer(socket => {
 		socket.write('HTTP/1.1 200 OK\r\nx-id: r1\r\nx-stamp: s\r\n\r\npart');
 		reset = () => {
 			socket.resetAndDestroy();
@@ -46,15 +46,15 @@
 	server.close();
 	t.is(result.type, 'answered');
 	if (result.type === 'answered') {
-		const answer = readResponseBody(result.response);
+		const body = readResponseBody(result.response);
 		await once(result.response, 'data');
 		reset();
-		t.is(await answer, undefined);
+		t.is(await body, undefined);
 	}
 });
 
-test('nor if the reset comes together with its last bytes', async t => {
-	const server = await answerWith(socket => {
+test('a response without a length whose connection is reset together with its last bytes is not complete', async t => {
+	const server = await startServer(socket => {
 		socket.write('HTTP/1.1 200 OK\r\nx-id: r1\r\nx-stamp: s\r\n\r\npart', () => {
 			socket.resetAndDestroy();
 		});
@@ -64,21 +64,21 @@
 	t.is(result.type === 'answered' ? await readResponseBody(result.response) : undefined, undefined);
 });
 
-test('an answer without a length ends whole with its connection', async t => {
-	const server = await answerWith(socket => {
+test('a response without a length is complete when its connection ends normally', async t => {
+	const server = await startServer(socket => {
 		socket.end('HTTP/1.1 200 OK\r\nx-id: r1\r\nx-stamp: s\r\n\r\nall');
 	});
 	const result = await send(`127.0.0.1:${(server.address() as AddressInfo).port}`);
 	server.close();
 	t.is(result.type, 'answered');
 	if (result.type === 'answered') {
-		const answer = await readResponseBody(result.response);
-		t.is(new TextDecoder().decode(answer), 'all');
+		const body = await readResponseBody(result.response);
+		t.is(new TextDecoder().decode(body), 'all');
 	}
 });
 
-test('an answer that names another request is none', async t => {
-	const server = await answerWith(socket => {
+test('a response that names another request is not taken for the response to this one', async t => {
+	const server = await startServer(socket => {
 		socket.end('HTTP/1.1 200 OK\r\nx-id: other\r\nx-stamp: s\r\ncontent-length: 2\r\n\r\nno');
 	});
 	const result = await send(`127.0.0.1:${(server.address() as AddressInfo).port}`);
@@ -86,8 +86,8 @@
 	t.is(result.type, 'lost');
 });
 
-test('a refused connection proves that nothing was sent', async t => {
-	const server = await answerWith(() => undefined);
+test('a refused connection means that the request was not sent', async t => {
+	const server = await startServer(() => undefined);
 	const {port} = server.address() as AddressInfo;
 	server.close();
 	await once(server, 'close');
@@ -95,8 +95,8 @@
 	t.is(type, 'unsent');
 });
 
-test('that another process has the address is no refusal of the endpoint itself', async t => {
-	const server = await answerWith(socket => {
+test('a 421 from another process at the address means that the endpoint is gone, not that it refuses the request', async t => {
+	const server = await startServer(socket => {
 		socket.end('HTTP/1.1 421 Misdirected Request\r\ncontent-length: 0\r\n\r\n');
 	});
 	const result = await send(`127.0.0.1:${(server.address() as AddressInfo).port}`);
