--- a/packages/entry/src/lib/hall-health/create-open-attempts.ts
+++ b/packages/entry/src/lib/hall-health/create-open-attempts.ts
@@ -1,7 +1,7 @@
 import type {OpenAttempt} from './open-attempt.js';
 import type {OpenAttempts} from './open-attempts.js';
 
-/** Creates a list of tries that is empty. */
+/** Creates an empty set of open attempts. */
 export const createOpenAttempts = (): OpenAttempts => {
 	const attempts = new Set<OpenAttempt>();
 	return {
@@ -11,15 +11,15 @@
 				attempts.delete(attempt);
 			};
 		},
-		waitsSince(hall) {
-			let oldest: number | undefined;
+		oldestSentAt(hall) {
+			let oldestSentAt: number | undefined;
 			for (const {endpoint, sentAt} of attempts) {
 				if (endpoint.hall === hall) {
-					oldest = Math.min(oldest ?? sentAt, sentAt);
+					oldestSentAt = Math.min(oldestSentAt ?? sentAt, sentAt);
 				}
 			}
 
-			return oldest;
+			return oldestSentAt;
 		},
 		abandon(hall) {
 			for (const {endpoint, abandon} of attempts) {
--- a/packages/entry/src/lib/hall-health/hall-monitor.ts
+++ b/packages/entry/src/lib/hall-health/hall-monitor.ts
@@ -1,15 +1,17 @@
 import type {ListedEndpoint} from '../../adapter/listed-endpoint.js';
 import type {OpenAttempt} from './open-attempt.js';
 
-/** Knows which other halls are out of reach. */
+/** Detects which other halls are unreachable. */
 export type HallMonitor = {
+	/** Replaces the list of the endpoints that the host uses, in all halls. */
 	readonly list: (endpoints: readonly ListedEndpoint[]) => void;
+	/** Whether a hall is unreachable; never true of the host's own hall. */
 	readonly isUnreachable: (hall: string) => boolean;
-	/** Notes that a try began. Returns what notes its end. */
+	/** Notes that an attempt began. Returns the function that notes its end. */
 	readonly open: (attempt: OpenAttempt) => () => void;
-	/** Notes that bytes of a hall's endpoint came. */
+	/** Notes that bytes arrived from an endpoint of a hall. */
 	readonly heard: (hall: string) => void;
-	/** Notes that a hall's endpoint took no connection. */
+	/** Notes that an endpoint of a hall accepted no connection. */
 	readonly connectFailed: (hall: string) => void;
 	readonly close: () => void;
 };
--- a/packages/entry/src/lib/hall-health/hall-reach-event.ts
+++ b/packages/entry/src/lib/hall-health/hall-reach-event.ts
@@ -1,9 +1,10 @@
-/** What bears on whether another hall is in reach. */
+/** An event that bears on whether another hall is reachable. */
 export type HallReachEvent =
-	/** Bytes of an endpoint there came. */
+	/** Bytes arrived from an endpoint of the hall. */
 	| {readonly type: 'heard'}
-	/** An endpoint there took no connection. */
+	/** An endpoint of the hall accepted no connection. */
 	| {readonly type: 'connect_failed'}
-	/** Time passed. `waitsSince`: when the oldest request that still waits for an endpoint there was sent. */
-	| {readonly type: 'ticked'; readonly waitsSince: number | undefined}
+	/** Time passed. `oldestSentAt`: when the oldest open attempt at an endpoint of the hall began, in monotonic ms; `undefined` if none is open. */
+	| {readonly type: 'ticked'; readonly oldestSentAt: number | undefined}
+	/** A probe of the hall ended. `isReached`: whether the hall counts as reachable. */
 	| {readonly type: 'probe_ended'; readonly isReached: boolean};
--- a/packages/entry/src/lib/hall-health/open-attempt.ts
+++ b/packages/entry/src/lib/hall-health/open-attempt.ts
@@ -1,10 +1,10 @@
 import type {ListedEndpoint} from '../../adapter/listed-endpoint.js';
 
-/** A try at an endpoint that is under way. */
+/** An attempt at an endpoint that has not ended. */
 export type OpenAttempt = {
 	readonly endpoint: ListedEndpoint;
-	/** Monotonic ms. */
+	/** When the attempt began, in monotonic ms. */
 	readonly sentAt: number;
-	/** Ends it, where it may be made again elsewhere. */
+	/** Aborts the attempt; absent if the request may not be retried at another endpoint. */
 	readonly abandon?: () => void;
 };
--- a/packages/entry/src/lib/hall-health/open-attempts.ts
+++ b/packages/entry/src/lib/hall-health/open-attempts.ts
@@ -1,11 +1,11 @@
 import type {OpenAttempt} from './open-attempt.js';
 
-/** The tries at endpoints that are under way. */
+/** The attempts at endpoints that have not ended. */
 export type OpenAttempts = {
-	/** Returns what notes its end. */
+	/** Adds an attempt that began. Returns the function that removes the attempt when it has ended. */
 	readonly add: (attempt: OpenAttempt) => () => void;
-	/** When the oldest request that waits for an endpoint of a hall was sent, in monotonic ms; `undefined` when none waits. */
-	readonly waitsSince: (hall: string) => number | undefined;
-	/** Ends all tries in a hall that may be made again elsewhere. */
+	/** When the oldest open attempt at an endpoint of a hall began, in monotonic ms; `undefined` if none is open. */
+	readonly oldestSentAt: (hall: string) => number | undefined;
+	/** Aborts the open attempts at endpoints of a hall whose requests may be retried at another endpoint. */
 	readonly abandon: (hall: string) => void;
 };
--- a/packages/entry/src/lib/hall-health/start-hall-monitor.ts
+++ b/packages/entry/src/lib/hall-health/start-hall-monitor.ts
@@ -6,39 +6,39 @@
 import type {HallMonitor} from './hall-monitor.js';
 import {stepHallReach} from './step-hall-reach.js';
 
-/** How often each hall is looked at, in ms: a third of the silence that brings a probe. */
+/** How often each hall is checked, in ms: a third of the silence after which a hall is probed (`silenceMs` of `stepHallReach`). */
 const tickMs = 100;
 
-/** Endpoints that one probe of a hall calls at once: a single one may be gone alone. */
-const probesAtOnce = 3;
+/** The number of endpoints that one probe of a hall connects to at once, since a single endpoint may be down while its hall is reachable. */
+const endpointsPerProbe = 3;
 
-const inReach: HallReach = {
-	isLost: false, heardAt: 0, isDoubted: false, isProbing: false, probeAgainAt: 0,
+const initialReach: HallReach = {
+	isUnreachable: false, heardAt: 0, hasConnectFailed: false, isProbing: false, nextProbeAt: 0,
 };
 
 const groupByHall = (endpoints: readonly ListedEndpoint[]): ReadonlyMap<string, readonly ListedEndpoint[]> => {
-	const byHall = new Map<string, ListedEndpoint[]>();
+	const endpointsByHall = new Map<string, ListedEndpoint[]>();
 	for (const endpoint of endpoints) {
-		byHall.set(endpoint.hall, [...byHall.get(endpoint.hall) ?? [], endpoint]);
+		endpointsByHall.set(endpoint.hall, [...endpointsByHall.get(endpoint.hall) ?? [], endpoint]);
 	}
 
-	return byHall;
+	return endpointsByHall;
 };
 
-// Neighbours in the list, from a place picked at random.
-const pickSome = <T>(entries: readonly T[], count: number): readonly T[] => {
+// Picks `count` consecutive entries from a random position on, past the end of the list from its start again.
+const pickConsecutive = <T>(entries: readonly T[], count: number): readonly T[] => {
 	const start = Math.floor(Math.random() * entries.length);
 	return [...entries.slice(start), ...entries.slice(0, start)].slice(0, count);
 };
 
 type Options = {
-	/** The host's own hall; its endpoints are judged one by one. */
+	/** The host's own hall, which is not monitored: its endpoints are judged one by one. */
 	readonly hall: string;
-	/** Whether a hall's endpoints are to get nothing: it is not probed then. */
+	/** Whether a hall is evacuated: its endpoints are to get no request, and it is not probed. */
 	readonly isEvacuated?: (hall: string) => boolean;
-	/** Tries a connection to an address. */
+	/** Tries to connect to an `ip:port`; true if the connection was accepted. */
 	readonly probe: (address: string) => Promise<boolean>;
-	/** Whether this host is too late with its own work to judge others. */
+	/** Whether this host is too late with its own work to judge others: a probe that fails then counts as successful. */
 	readonly isOverloaded: () => boolean;
 	readonly log: Log;
 	/** Monotonic ms. */
@@ -46,38 +46,38 @@
 };
 
 /**
-Starts the task that finds out when another hall can no longer be reached, so that requests stay away from all its
-endpoints at once, and those that wait for one there are made again elsewhere.
+Starts the task that detects when another hall becomes unreachable, so that its endpoints get no further request, and that aborts the
+open attempts there whose requests may be retried elsewhere.
 
-It owns what is known of each hall and the list of tries under way; when to probe and what a probe means is decided by
-`stepHallReach`.
+The task owns what is known of each hall and the set of open attempts. `stepHallReach` decides when a hall is probed and what the
+result of a probe means.
 */
 export const startHallMonitor = ({hall: ownHall, isEvacuated = () => false, probe, isOverloaded, log, now}: Options): HallMonitor => {
-	const reaches = new Map<string, HallReach>();
+	const reachByHall = new Map<string, HallReach>();
 	const attempts = createOpenAttempts();
-	let byHall: ReadonlyMap<string, readonly ListedEndpoint[]> = new Map();
+	let endpointsByHall: ReadonlyMap<string, readonly ListedEndpoint[]> = new Map();
 
-	const reachOf = (hall: string): HallReach => reaches.get(hall) ?? inReach;
+	const reachOf = (hall: string): HallReach => reachByHall.get(hall) ?? initialReach;
 
 	const step = (hall: string, event: HallReachEvent): boolean => {
 		const {reach, isProbeDue} = stepHallReach(reachOf(hall), event, now());
-		reaches.set(hall, reach);
+		reachByHall.set(hall, reach);
 		return isProbeDue;
 	};
 
-	const stepOther = (hall: string, event: HallReachEvent): void => {
+	const stepOtherHall = (hall: string, event: HallReachEvent): void => {
 		if (hall !== ownHall) {
 			step(hall, event);
 		}
 	};
 
 	const probeHall = async (hall: string): Promise<void> => {
-		const picked = pickSome(byHall.get(hall) ?? [], probesAtOnce);
-		const answers = await Promise.all(picked.map(async ({address}) => probe(address)));
-		const isReached = picked.length === 0 || answers.includes(true) || isOverloaded();
-		const wasLost = reachOf(hall).isLost;
+		const picked = pickConsecutive(endpointsByHall.get(hall) ?? [], endpointsPerProbe);
+		const results = await Promise.all(picked.map(async ({address}) => probe(address)));
+		const isReached = picked.length === 0 || results.includes(true) || isOverloaded();
+		const wasUnreachable = reachOf(hall).isUnreachable;
 		step(hall, {type: 'probe_ended', isReached});
-		if (wasLost === isReached) {
+		if (wasUnreachable === isReached) {
 			log(isReached ? 'hall_regained' : 'hall_lost', {hall, probes: picked.length});
 		}
 
@@ -87,8 +87,8 @@
 	};
 
 	const timer = setInterval(() => {
-		for (const hall of byHall.keys()) {
-			if (hall !== ownHall && !isEvacuated(hall) && step(hall, {type: 'ticked', waitsSince: attempts.waitsSince(hall)})) {
+		for (const hall of endpointsByHall.keys()) {
+			if (hall !== ownHall && !isEvacuated(hall) && step(hall, {type: 'ticked', oldestSentAt: attempts.oldestSentAt(hall)})) {
 				void probeHall(hall);
 			}
 		}
@@ -96,15 +96,15 @@
 
 	return {
 		list(endpoints) {
-			byHall = groupByHall(endpoints.filter(({isLeaving}) => !isLeaving));
+			endpointsByHall = groupByHall(endpoints.filter(({isLeaving}) => !isLeaving));
 		},
-		isUnreachable: hall => reachOf(hall).isLost,
+		isUnreachable: hall => reachOf(hall).isUnreachable,
 		open: attempts.add,
 		heard(hall) {
-			stepOther(hall, {type: 'heard'});
+			stepOtherHall(hall, {type: 'heard'});
 		},
 		connectFailed(hall) {
-			stepOther(hall, {type: 'connect_failed'});
+			stepOtherHall(hall, {type: 'connect_failed'});
 		},
 		close() {
 			clearInterval(timer);
--- a/packages/entry/src/lib/hall-health/step-hall-reach.ts
+++ b/packages/entry/src/lib/hall-health/step-hall-reach.ts
@@ -1,52 +1,54 @@
 import type {HallReachEvent} from './hall-reach-event.js';
 import type {HallReach} from './hall-reach.js';
 
-/** A hall that owes answers and sends nothing for this long, in ms, is probed. */
+/** A hall with open attempts is probed when no byte has arrived from it for longer than this, in ms. */
 const silenceMs = 300;
 
-/** After a probe that arrived, the next one waits this long, in ms, so that slow endpoints are not asked all the time. */
-const calmMs = 1000;
+/** After a successful probe, the hall is not probed for this long, in ms, so that slow endpoints do not bring one probe after the other. */
+const reachedProbePauseMs = 1000;
 
-/** A lost hall is probed this often, in ms. */
-const lostProbeMs = 400;
+/** After a failed probe, the hall is not probed for this long, in ms; an unreachable hall is then probed at once. */
+const unreachableProbePauseMs = 400;
 
-type Step = {readonly reach: HallReach; /** Whether a connection to the hall is to be tried now. */ readonly isProbeDue: boolean};
+type Step = {readonly reach: HallReach; /** Whether the hall is to be probed now. */ readonly isProbeDue: boolean};
 
-const isSilent = ({heardAt}: HallReach, waitsSince: number | undefined, now: number): boolean =>
-	waitsSince !== undefined && now - Math.max(heardAt, waitsSince) > silenceMs;
+const isSilent = ({heardAt}: HallReach, oldestSentAt: number | undefined, now: number): boolean =>
+	oldestSentAt !== undefined && now - Math.max(heardAt, oldestSentAt) > silenceMs;
 
-const tick = (reach: HallReach, waitsSince: number | undefined, now: number): Step => {
-	const isWorthIt = reach.isLost || reach.isDoubted || isSilent(reach, waitsSince, now);
-	const isProbeDue = isWorthIt && !reach.isProbing && now >= reach.probeAgainAt;
+const tick = (reach: HallReach, oldestSentAt: number | undefined, now: number): Step => {
+	const isInDoubt = reach.isUnreachable || reach.hasConnectFailed || isSilent(reach, oldestSentAt, now);
+	const isProbeDue = isInDoubt && !reach.isProbing && now >= reach.nextProbeAt;
 	return {reach: isProbeDue ? {...reach, isProbing: true} : reach, isProbeDue};
 };
 
 const endProbe = (reach: HallReach, isReached: boolean, now: number): HallReach => isReached
 	? {
-		...reach, isProbing: false, isLost: false, isDoubted: false, heardAt: now, probeAgainAt: now + calmMs,
+		...reach, isProbing: false, isUnreachable: false, hasConnectFailed: false, heardAt: now, nextProbeAt: now + reachedProbePauseMs,
 	}
 	: {
-		...reach, isProbing: false, isLost: true, isDoubted: false, probeAgainAt: now + lostProbeMs,
+		...reach, isProbing: false, isUnreachable: true, hasConnectFailed: false, nextProbeAt: now + unreachableProbePauseMs,
 	};
 
 /**
-Moves what is known of another hall on by one event. Pure.
+Updates what is known of another hall by one event. Pure.
 
-One endpoint that takes no connection may be gone alone, and endpoints may be slow; so both only bring a probe of
-another one. A hall whose probe fails is lost until a probe arrives.
+An endpoint that accepts no connection may be down while its hall is reachable, and silent endpoints may only be slow; so both only
+bring a probe of the hall. A hall whose probe fails is unreachable until a probe succeeds.
+
+@param now Monotonic ms.
 */
 export const stepHallReach = (reach: HallReach, event: HallReachEvent, now: number): Step => {
 	switch (event.type) {
 		case 'heard': {
-			return {reach: {...reach, heardAt: now, isDoubted: false}, isProbeDue: false};
+			return {reach: {...reach, heardAt: now, hasConnectFailed: false}, isProbeDue: false};
 		}
 
 		case 'connect_failed': {
-			return {reach: {...reach, isDoubted: !reach.isLost}, isProbeDue: false};
+			return {reach: {...reach, hasConnectFailed: !reach.isUnreachable}, isProbeDue: false};
 		}
 
 		case 'ticked': {
-			return tick(reach, event.waitsSince, now);
+			return tick(reach, event.oldestSentAt, now);
 		}
 
 		case 'probe_ended': {
--- a/packages/entry/src/lib/own-health/accept-probe.ts
+++ b/packages/entry/src/lib/own-health/accept-probe.ts
@@ -1,10 +1,11 @@
 import type {Socket} from 'node:net';
 
-/** One measurement of how long a new connection waits. */
+/** One measurement of how long a new connection to this host waits to be accepted. */
 export type AcceptProbe = {
-	/** Monotonic ms. */
+	/** When the connection was begun, in monotonic ms. */
 	readonly startedAt: number;
-	/** Notes that a connection was taken, this one or another. */
-	readonly accepted: (socket: Pick<Socket, 'remotePort'>) => void;
+	/** Notes that this process accepted a connection: the probe's own or any other. */
+	readonly noteAccepted: (socket: Pick<Socket, 'remotePort'>) => void;
+	/** Ends the measurement without a result. */
 	readonly close: () => void;
 };
--- a/packages/entry/src/lib/own-health/accept-watch.ts
+++ b/packages/entry/src/lib/own-health/accept-watch.ts
@@ -1,14 +1,14 @@
 import type {Socket} from 'node:net';
 
-/** Knows how long new connections of callers wait before this process takes them. */
+/** Measures how long new connections of callers wait before this process accepts them. */
 export type AcceptWatch = {
-	/** Begins to measure at a host that listens for callers at `address`, as `ip:port`. */
+	/** Starts to measure, at the `ip:port` where this host listens for callers. */
 	readonly start: (address: string) => void;
-	/** Notes that a connection was taken. */
+	/** Notes that this process accepted a connection: a caller's or one that measures. */
 	readonly accepted: (socket: Socket) => void;
-	/** How long one that is taken now has waited, in ms. */
+	/** How long a connection that is accepted now has waited, in ms: the longer of the last measurement and the one under way. */
 	readonly waitedMs: () => number;
-	/** Whether they wait so long that other hosts had better take them. */
+	/** Whether new connections wait so long that other hosts should accept them instead. */
 	readonly isQueueLong: () => boolean;
 	readonly close: () => void;
 };
--- a/packages/entry/src/lib/own-health/create-accept-watch.ts
+++ b/packages/entry/src/lib/own-health/create-accept-watch.ts
@@ -3,50 +3,51 @@
 import {isQueueLong} from './is-queue-long.js';
 import {startAcceptProbe} from './start-accept-probe.js';
 
-/** How often the wait of new connections is measured while callers have requests open, in ms. */
-const pauseMs = 200;
+/** How often the wait of new connections is measured while requests of callers are open, in ms. */
+const measureEveryMs = 200;
 
 type Options = {
-	/** Whether callers have requests open here. */
+	/** Whether requests of callers are open at this host. */
 	readonly isBusy: () => boolean;
-	/** Called with each measurement, in ms; with 0 while no request is open. */
+	/** Called with the wait in ms at the end of each measurement and while a long one is under way; with 0 while no request is open. */
 	readonly onMeasured: (waitedMs: number) => void;
 	/** Monotonic ms. */
 	readonly now: () => number;
 };
 
 /**
-Creates the task that measures how long new connections wait before this process takes them: it connects to itself.
+Creates the task that measures how long new connections wait before this process accepts them. For this the host connects to itself.
 
-The event loop takes one connection a turn, so while turns are long, connections wait in the system's queue of new ones. Neither
-timers nor requests on kept connections are late by it; the requests that wait there are read when their callers may have left.
+The event loop accepts one connection per turn, so while turns are long, new connections wait in the queue of the operating system.
+Timers and requests on established connections show nothing of this wait, and a request that waits in the queue may be read only
+after its caller has given up.
 */
 export const createAcceptWatch = ({isBusy, onMeasured, now}: Options): AcceptWatch => {
 	let probe: AcceptProbe | undefined;
 	let timer: NodeJS.Timeout | undefined;
-	let measuredMs = 0;
+	let lastWaitMs = 0;
 	let isLong = false;
 
-	const waitedMs = (): number => probe ? Math.max(measuredMs, now() - probe.startedAt) : measuredMs;
+	const waitedMs = (): number => probe ? Math.max(lastWaitMs, now() - probe.startedAt) : lastWaitMs;
 
-	const note = (): void => {
+	const reportWait = (): void => {
 		isLong = isQueueLong(isLong, waitedMs());
 		onMeasured(waitedMs());
 	};
 
-	const finish = (waited: number): void => {
+	const endProbe = (finalWaitMs: number): void => {
 		probe = undefined;
-		measuredMs = waited;
-		note();
+		lastWaitMs = finalWaitMs;
+		reportWait();
 	};
 
 	const tick = (address: string): void => {
 		if (probe) {
-			note();
+			reportWait();
 		} else if (isBusy()) {
-			probe = startAcceptProbe({address, onEnd: finish, now});
+			probe = startAcceptProbe({address, onEnd: endProbe, now});
 		} else {
-			finish(0);
+			endProbe(0);
 		}
 	};
 
@@ -54,11 +55,11 @@
 		start(address) {
 			timer = setInterval(() => {
 				tick(address);
-			}, pauseMs);
+			}, measureEveryMs);
 			timer.unref();
 		},
 		accepted(socket) {
-			probe?.accepted(socket);
+			probe?.noteAccepted(socket);
 		},
 		waitedMs,
 		isQueueLong: () => isLong,
--- a/packages/entry/src/lib/own-health/create-wait-log.ts
+++ b/packages/entry/src/lib/own-health/create-wait-log.ts
@@ -1,25 +1,25 @@
 import type {Log} from '../../adapter/log.js';
 
-/** Shorter waits of new connections are no news, in ms. */
-const longMs = 100;
+/** Waits of new connections that are shorter than this, in ms, are not logged. */
+const minLoggedMs = 100;
 
-/** Long waits are logged no more often, in ms. */
-const everyMs = 1000;
+/** Long waits are logged at most once in this time, in ms. */
+const logEveryMs = 1000;
 
 type Options = {
-	/** Requests open now. */
+	/** The number of requests that are open now. */
 	readonly open: () => number;
 	readonly log: Log;
 	/** Monotonic ms. */
 	readonly now: () => number;
 };
 
-/** Creates the function that takes in how long new connections wait, in ms, and logs long waits. */
+/** Creates the function that is called with each measured wait of new connections, in ms, and logs long waits. */
 export const createWaitLog = ({open, log, now}: Options): ((waitedMs: number) => void) => {
-	let againAt = Number.NEGATIVE_INFINITY;
+	let nextLogAt = Number.NEGATIVE_INFINITY;
 	return waitedMs => {
-		if (waitedMs >= longMs && now() >= againAt) {
-			againAt = now() + everyMs;
+		if (waitedMs >= minLoggedMs && now() >= nextLogAt) {
+			nextLogAt = now() + logEveryMs;
 			log('connections_wait', {waited_ms: Math.round(waitedMs), open: open()});
 		}
 	};
--- a/packages/entry/src/lib/own-health/is-queue-long.ts
+++ b/packages/entry/src/lib/own-health/is-queue-long.ts
@@ -1,8 +1,8 @@
-/** New connections that wait so long, in ms, are better taken by other hosts. */
-const longMs = 400;
+/** The queue of new connections becomes long when they wait longer than this, in ms: other hosts should accept them then. */
+const longWaitMs = 400;
 
-/** They are taken here again once they wait no longer than this, in ms. Between the two, it stays as it is. */
-const shortMs = 80;
+/** The queue is no longer long once connections wait at most this, in ms. Between the two bounds its state stays, so that the host does not flap. */
+const shortWaitMs = 80;
 
-/** Decides whether new connections are better taken by other hosts, by how long they wait here. Pure. */
-export const isQueueLong = (wasLong: boolean, waitedMs: number): boolean => waitedMs > (wasLong ? shortMs : longMs);
+/** Decides whether other hosts should accept new connections instead of this one, by how long connections wait here. Pure. */
+export const isQueueLong = (wasLong: boolean, waitedMs: number): boolean => waitedMs > (wasLong ? shortWaitMs : longWaitMs);
--- a/packages/entry/src/lib/own-health/start-accept-probe.ts
+++ b/packages/entry/src/lib/own-health/start-accept-probe.ts
@@ -3,24 +3,25 @@
 import type {AcceptProbe} from './accept-probe.js';
 
 type Options = {
-	/** Where this host listens for callers, as `ip:port`. */
+	/** The `ip:port` where this host listens for callers. */
 	readonly address: string;
-	/** Called once, with how long the connection waited in ms; with 0 where it failed, which says nothing of the wait. */
+	/** Called once, unless the probe is closed before, with the ms that the connection waited; with 0 if the connection failed, which says nothing about the wait. */
 	readonly onEnd: (waitedMs: number) => void;
 	/** Monotonic ms. */
 	readonly now: () => number;
 };
 
 /**
-Connects this host to itself, and measures until the connection is taken.
+Connects this host to itself, and measures the time until this process accepts the connection.
 
-The client's port, by which it is recognised, is known once the connection is up; that may be told before or after it was taken.
+The accepted connection is recognised by the port of the probe's client, which is known only after the client's 'connect' event. The
+process may accept the connection before or after that event.
 */
 export const startAcceptProbe = ({address, onEnd, now}: Options): AcceptProbe => {
 	const {host, port} = splitAddress(address);
 	const startedAt = now();
-	/** When a connection from each port was taken, in monotonic ms. */
-	const acceptedAt = new Map<number, number>();
+	/** When a connection from each client port was accepted, in monotonic ms. */
+	const acceptedAtByPort = new Map<number, number>();
 	const client = connect(port, host);
 
 	const end = (waitedMs: number): void => {
@@ -28,23 +29,23 @@
 		onEnd(waitedMs);
 	};
 
-	const endIfTaken = (): void => {
-		const takenAt = acceptedAt.get(client.localPort ?? 0);
-		if (takenAt !== undefined) {
-			end(takenAt - startedAt);
+	const endIfAccepted = (): void => {
+		const acceptedAt = acceptedAtByPort.get(client.localPort ?? 0);
+		if (acceptedAt !== undefined) {
+			end(acceptedAt - startedAt);
 		}
 	};
 
-	client.once('connect', endIfTaken);
+	client.once('connect', endIfAccepted);
 	client.once('error', () => {
 		end(0);
 	});
 	return {
 		startedAt,
-		accepted({remotePort}) {
+		noteAccepted({remotePort}) {
 			if (remotePort !== undefined) {
-				acceptedAt.set(remotePort, now());
-				endIfTaken();
+				acceptedAtByPort.set(remotePort, now());
+				endIfAccepted();
 			}
 		},
 		close() {
--- a/packages/entry/src/lib/own-health/start-overload-monitor.ts
+++ b/packages/entry/src/lib/own-health/start-overload-monitor.ts
@@ -5,19 +5,22 @@
 import {stepLateness} from './step-lateness.js';
 import {stepShedding} from './step-shedding.js';
 
-/** How often the lateness of timers is sampled, in ms: ten samples weigh as one average (`stepLateness`). */
+/** How often the lateness of timers is sampled, in ms. About ten samples make an average (`stepLateness`), so one covers about a second. */
 const sampleEveryMs = 100;
 
-/** Within a hall, a connection over a link that keeps up is faster than this, in ms. While requests are turned away there are few of them. */
+/**
+A connection within a hall comes up faster than this, in ms, if the link of the host keeps up. After such a connection each step counts as a
+sample of a calm link (`link_calm`), since few connections are opened while requests are refused.
+*/
 const fastConnectMs = 10;
 
-/** After this time without a new connection, in ms, nothing is known of the link. */
-const connectMemoryMs = 1000;
+/** The last connection says nothing about the link any more once it is older than this, in ms; the link then counts as calm. */
+const connectValidMs = 1000;
 
 type Options = {
-	/** How late an event of a stream may be passed on, in ms. */
+	/** The longest delay with which an event of a stream may be relayed, in ms. */
 	readonly boundMs: number;
-	/** Requests open now. */
+	/** The number of requests that are open now. */
 	readonly open: () => number;
 	readonly log: Log;
 	/** Monotonic ms. */
@@ -25,18 +28,19 @@
 };
 
 /**
-Watches how late this process's timers are, and how long connections within its hall take: a host whose core or link cannot
-keep up sends callers elsewhere, and blames no endpoint for its own delays.
+Starts the monitor of this host's own lateness, which it takes from the timers of this process and from the time that connections within
+its hall take. A host whose processor core or network link cannot keep up sends callers to other hosts, and holds no delay of its own
+against an endpoint.
 */
 export const startOverloadMonitor = ({boundMs, open, log, now}: Options): OverloadMonitor => {
 	let lateness: Lateness = {
 		timerMs: 0, connectMs: 0, isLate: false, isOverloaded: false,
 	};
 	let sampledAt = now();
-	/** When the last connection came up, and how long it took, in monotonic ms and ms. */
+	/** The last connection within the hall: when it came up or was given up, in monotonic ms, and how long that took, in ms. */
 	let lastConnect = {at: now(), tookMs: 0};
-	/** The most requests that are kept open. */
-	let limit: number | undefined;
+	/** The most requests that this host keeps open; `undefined` without a limit. */
+	let openLimit: number | undefined;
 
 	const step = (event: LatenessEvent): void => {
 		const next = stepLateness(lateness, event, boundMs);
@@ -53,11 +57,11 @@
 		const lateMs = Math.max(0, now() - sampledAt - sampleEveryMs);
 		sampledAt = now();
 		step({type: 'timer_fired', lateMs});
-		if (lastConnect.tookMs < fastConnectMs || now() - lastConnect.at > connectMemoryMs) {
+		if (lastConnect.tookMs < fastConnectMs || now() - lastConnect.at > connectValidMs) {
 			step({type: 'link_calm'});
 		}
 
-		limit = stepShedding(limit, {...lateness, open: open()});
+		openLimit = stepShedding(openLimit, {...lateness, open: open()});
 	}, sampleEveryMs);
 	timer.unref();
 	return {
@@ -66,7 +70,7 @@
 			step({type: 'connected', tookMs});
 		},
 		isOverloaded: () => lateness.isOverloaded,
-		isShedding: () => limit !== undefined && open() > limit,
+		isShedding: () => openLimit !== undefined && open() > openLimit,
 		close() {
 			clearInterval(timer);
 		},
--- a/packages/entry/src/lib/own-health/step-lateness.ts
+++ b/packages/entry/src/lib/own-health/step-lateness.ts
@@ -1,47 +1,47 @@
 import type {LatenessEvent} from './lateness-event.js';
 import type {Lateness} from './lateness.js';
 
-/** The weight of one sample in an average: about ten samples count, a second of timers. */
+/** The weight of one sample in a moving average: about the last ten samples count, which is a second for samples of timers. */
 const sampleWeight = 0.1;
 
-/** One long pause (a freeze that ended, a collection of garbage) is no lasting overload: samples are cut to this many bounds. */
-const mostTimerBounds = 4;
+/** A sample of a timer is cut to this many times the bound: one long pause (a freeze that ended, a garbage collection) is no overload. */
+const maxTimerSampleBounds = 4;
 
-/** Nor is a single endpoint that is silent: it takes several slow connections in a row. */
-const mostConnectBounds = 1;
+/** A sample of a connection is cut to this many times the bound: one silent endpoint is no overload, which takes several slow connections in a row. */
+const maxConnectSampleBounds = 1;
 
-/** The part of the bound at which overload begins: half, so that events still pass in time. */
-const beginShare = 0.5;
+/** Overload begins above this share of the bound: half, so that events are still relayed in time. */
+const overloadBeginShare = 0.5;
 
-/** The part of the bound at which overload ends. Between the two, the state stays as it is. */
-const endShare = 0.1;
+/** Overload ends at this share of the bound. Between the two shares the state stays as it is, so that the host does not flap. */
+const overloadEndShare = 0.1;
 
-const average = (before: number, sample: number): number => before + ((sample - before) * sampleWeight);
+const movingAverage = (before: number, sample: number): number => before + ((sample - before) * sampleWeight);
 
-const take = (lateness: Lateness, event: LatenessEvent, boundMs: number): Lateness => {
+const applyEvent = (lateness: Lateness, event: LatenessEvent, boundMs: number): Lateness => {
 	switch (event.type) {
 		case 'timer_fired': {
-			return {...lateness, timerMs: average(lateness.timerMs, Math.min(event.lateMs, boundMs * mostTimerBounds))};
+			return {...lateness, timerMs: movingAverage(lateness.timerMs, Math.min(event.lateMs, boundMs * maxTimerSampleBounds))};
 		}
 
 		case 'connected': {
-			return {...lateness, connectMs: average(lateness.connectMs, Math.min(event.tookMs, boundMs * mostConnectBounds))};
+			return {...lateness, connectMs: movingAverage(lateness.connectMs, Math.min(event.tookMs, boundMs * maxConnectSampleBounds))};
 		}
 
 		case 'link_calm': {
-			return {...lateness, connectMs: average(lateness.connectMs, 0)};
+			return {...lateness, connectMs: movingAverage(lateness.connectMs, 0)};
 		}
 	}
 };
 
 /**
-Moves a host's lateness on by one event. Pure.
+Updates the lateness of a host by one event. Pure.
 
-@param boundMs How late an event of a stream may be passed on.
+@param boundMs The longest delay with which an event of a stream may be relayed, in ms.
 */
 export const stepLateness = (before: Lateness, event: LatenessEvent, boundMs: number): Lateness => {
-	const next = take(before, event, boundMs);
+	const next = applyEvent(before, event, boundMs);
 	const worstMs = Math.max(next.timerMs, next.connectMs);
-	const isLate = worstMs > boundMs * beginShare;
-	return {...next, isLate, isOverloaded: isLate || (before.isOverloaded && worstMs > boundMs * endShare)};
+	const isLate = worstMs > boundMs * overloadBeginShare;
+	return {...next, isLate, isOverloaded: isLate || (before.isOverloaded && worstMs > boundMs * overloadEndShare)};
 };
--- a/packages/entry/src/test/accept-watch.test.ts
+++ b/packages/entry/src/test/accept-watch.test.ts
@@ -1,13 +1,11 @@
 /**
-What was seen: requests reached endpoints 0.6 to 0.9 s after their callers had given them up or their deadlines had passed, from the host
-of a hall that got most of its requests; round trips to its peers took 50 to 200 ms then, and its timers were 10 to 40 ms late.
+Guards against requests that are forwarded to endpoints 0.6 to 0.9 s after their callers gave up or their deadlines passed.
 
-Order of events: many callers open connections to one host. Each turn of its event loop takes one of them, however many wait; the rest
-waits in the system's queue, with its requests. A request that is read after 1.2 s has a caller that gave it up after one second; the
-caller's close is read after it.
-
-Cause: a request's age counted from when its head was read. Evidence: in a loop whose turns were counted, 20 connections that waited
-together were taken in turns 1 to 20, one each; on the bench the measured wait reached 1.5 s.
+This happens at a host to which many callers open connections. Each turn of its event loop accepts one connection, however many wait (20
+that waited together were accepted in turns 1 to 20); the others wait in the queue of the operating system, with their requests, for up to
+1.5 s on the bench. If the age of a request counts from when its head was read, a request that is read after 1.2 s looks new, though its
+caller gave up after one second: the caller's close is read after the request. Other signs hardly show the wait: round trips to peers took
+50 to 200 ms, and timers were 10 to 40 ms late.
 */
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
 import {connect, type Socket} from 'node:net';
@@ -20,7 +18,7 @@
 
 const waitMs = 700;
 
-test('a connection to itself shows how long new connections wait', async t => {
+test('a connection of the host to itself measures how long new connections wait', async t => {
 	let time = 0;
 	const server = createServer();
 	const address = await listenAt(server, '127.0.0.1:0');
@@ -42,7 +40,7 @@
 	t.is(measured, waitMs);
 });
 
-test('nothing waits at a host without open requests, and none connects to it', async t => {
+test('a host without open requests reports no wait and does not connect to itself', async t => {
 	const server = createServer();
 	const address = await listenAt(server, '127.0.0.1:0');
 	let connections = 0;
@@ -63,8 +61,8 @@
 	t.is(connections, 0);
 });
 
-/** A host that took a caller's connection at 0 after a wait, and reads the first two requests on it at the given times. */
-const readRequests = async (t: {teardown: (end: () => void) => void}, readAt: readonly number[]): Promise<readonly number[]> => {
+/** Starts a host that accepts a caller's connection at time 0, after a wait of `waitMs`, and reads the requests on the connection at the times `readAt`. Returns the wait that the host counts for each request. Times are in ms. */
+const measureRequestWaits = async (t: {teardown: (end: () => void) => void}, readAt: readonly number[]): Promise<readonly number[]> => {
 	let time = 0;
 	const connections = createCallerConnections(() => time);
 	const waits: number[] = [];
@@ -93,22 +91,22 @@
 	return waits;
 };
 
-test('a first request that is there with its connection waited with it; a later one did not', async t => {
-	t.deepEqual(await readRequests(t, [5, 10]), [waitMs, 0]);
+test('the first request that arrives with its connection counts the wait of the connection; a later one does not', async t => {
+	t.deepEqual(await measureRequestWaits(t, [5, 10]), [waitMs, 0]);
 });
 
-test('a request that was sent long after its connection came up did not wait with it', async t => {
-	t.deepEqual(await readRequests(t, [waitMs + 1]), [0]);
+test('a request that is sent long after its connection came up does not count the wait of the connection', async t => {
+	t.deepEqual(await measureRequestWaits(t, [waitMs + 1]), [0]);
 });
 
 const unreadTimeout = {ms: 1000, share: 1 / 3};
 
-test('callers give up what may be sent again once it is unread for their patience', t => {
-	const long = {callerMs: 10_000, isRetryable: true, unreadTimeout};
-	t.false(isAbandonedByCaller({...long, waitedMs: 999}));
-	t.true(isAbandonedByCaller({...long, waitedMs: 1000}));
-	t.true(isAbandonedByCaller({...long, callerMs: 900, waitedMs: 300}));
-	t.false(isAbandonedByCaller({...long, callerMs: 900, waitedMs: 299}));
-	t.false(isAbandonedByCaller({...long, isRetryable: false, waitedMs: 5000}), 'what may run once is waited for');
-	t.false(isAbandonedByCaller({...long, unreadTimeout: undefined, waitedMs: 5000}));
+test('a retryable request that waited unread for as long as callers wait before they retry counts as abandoned', t => {
+	const inputs = {callerMs: 10_000, isRetryable: true, unreadTimeout};
+	t.false(isAbandonedByCaller({...inputs, waitedMs: 999}));
+	t.true(isAbandonedByCaller({...inputs, waitedMs: 1000}));
+	t.true(isAbandonedByCaller({...inputs, callerMs: 900, waitedMs: 300}));
+	t.false(isAbandonedByCaller({...inputs, callerMs: 900, waitedMs: 299}));
+	t.false(isAbandonedByCaller({...inputs, isRetryable: false, waitedMs: 5000}), 'what may run once is waited for');
+	t.false(isAbandonedByCaller({...inputs, unreadTimeout: undefined, waitedMs: 5000}));
 });
--- a/packages/entry/src/test/silent-connections.test.ts
+++ b/packages/entry/src/test/silent-connections.test.ts
@@ -1,14 +1,12 @@
 /**
-What a caller would see, found by looking for the cause of an incident with links between hosts elsewhere (not seen in a
-played day so far): after the connections to an endpoint went silent, one request after the other waits until its deadline,
-as many as there were connections kept.
+Guards against requests that wait until their deadlines, one after the other, on idle connections that went silent.
 
-Order of events: kept connections carry nothing any more, new ones work. A request takes the one that was used last and gets
-no answer; it ends at its deadline, which says nothing of its endpoint; the next request takes the next connection.
+The idle connections to an endpoint carry no bytes any more, while new connections work. A request takes the connection that was used last
+and gets no response until its deadline, which says nothing about the endpoint. If the missing response counts against its own connection
+only, the next request takes the next silent connection, for as many requests as there were idle connections.
 
-Cause: a missing answer was held against its own connection only. Evidence: the first test, before the mend.
-
-The second test is the incident itself with whole hosts: questions to the follower of a hall over a link that went silent.
+The second test is an incident with whole hosts, whose cause led to the first: a host asks the one that follows the store for its hall, over
+a link that went silent.
 */
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import test from 'ava';
@@ -20,7 +18,7 @@
 import {startEndpoint} from './lib/start-endpoint.js';
 import {makeConfig, startHost} from './lib/start-host.js';
 
-/** Time limits of requests, in ms: one that ends on the silent connection, and one that a slow machine keeps. */
+/** Deadlines of requests, in ms: a short one for a request that waits on a silent connection, and one that is long enough on a slow host. */
 const shortDeadline = {[headerNames.deadline]: '1500'};
 const longDeadline = {[headerNames.deadline]: '20000'};
 
@@ -29,15 +27,15 @@
 	return `127.0.0.1:${relay.port}`;
 };
 
-test('one silent connection to an endpoint costs one request, however many were kept', async t => {
-	const hold = answerTogether(3);
+test('silent connections to an endpoint cost one request, however many connections were idle', async t => {
+	const respondTogether = answerTogether(3);
 	const endpoint = await startEndpoint('e0', (req, res) => {
 		const answer = (): void => {
 			res.end('fine');
 		};
 
 		if (req.url === '/together') {
-			hold(answer);
+			respondTogether(answer);
 		} else {
 			answer();
 		}
@@ -49,8 +47,8 @@
 	});
 	host.entry.configure(makeConfig());
 	host.entry.listEndpoints([{...endpoint.listed, address: relayTo(relay, endpoint.listed.address)}]);
-	const together = await Promise.all([1, 2, 3].map(async () => callHost(host.callers, {path: '/together', headers: longDeadline})));
-	t.deepEqual(together.map(({status}) => status), [200, 200, 200]);
+	const responses = await Promise.all([1, 2, 3].map(async () => callHost(host.callers, {path: '/together', headers: longDeadline})));
+	t.deepEqual(responses.map(({status}) => status), [200, 200, 200]);
 
 	relay.silence();
 	const first = await callHost(host.callers, {path: '/alone', headers: shortDeadline});
@@ -59,16 +57,16 @@
 	t.is(second.status, 200);
 });
 
-/** Five hosts are a large hall: one follows the configuration for all. */
+/** Five hosts make a large hall, in which one host follows the configuration in the store for all. */
 const hostNames = ['edge-1', 'edge-2', 'edge-3', 'edge-4', 'edge-5'];
 
-/** How long a question may be held, in ms: a slow machine must not look like a silent link. */
+/** For how long the follower may hold a question before it replies, in ms: long enough that a slow host does not look like a silent link. */
 const holdMs = 2000;
 
-/** For how long questions are asked, in ms: an end for links that stay silent. */
-const askForMs = 30_000;
+/** After this time, in ms, a host that got no reply with a change stops asking: links that stay silent fail the test then. */
+const askTimeoutMs = 30_000;
 
-test('a host hears again from the one that follows the store for its hall, and uses no connection that went silent with the link', async t => {
+test('after its links went silent, a host gets replies again from the one that follows the store for its hall, and uses no silent connection to an endpoint', async t => {
 	const peers = new Map<string, ListedPeer>();
 	const relays = new Map(await Promise.all(hostNames.map(async name => [name, await startRelay()] as const)));
 	const seenAs = (peer: ListedPeer): ListedPeer => ({...peer, address: relayTo(relays.get(peer.holder.split('#')[0]!)!, peer.address)});
@@ -83,34 +81,34 @@
 	});
 	await Promise.all(hosts.map(async ({logged}) => logged('peers_listed', ({count}) => count === hostNames.length)));
 	const asker = hosts.find(({entry}) => !entry.storeChanges.isFollower('config'))!;
-	const isTold = async (): Promise<boolean> => {
+	const isChangeReported = async (): Promise<boolean> => {
 		const {type} = await asker.entry.storeChanges.ask('config', 5, holdMs, 60_000);
 		return type === 'changed';
 	};
 
-	// Behind relays each host has addresses of its own for the others; so the one that is asked shows by its answer.
-	const tells = async ({entry}: (typeof hosts)[number]): Promise<boolean> => {
+	// Behind relays each host has addresses of its own for the others, so which host the asker asks shows only by the reply.
+	const isFollower = async ({entry}: (typeof hosts)[number]): Promise<boolean> => {
 		entry.storeChanges.tell('config', {at: 9, changedAt: 6});
-		const isAsked = await isTold();
+		const isAsked = await isChangeReported();
 		entry.storeChanges.tell('config', undefined);
 		return isAsked;
 	};
 
 	let follower = asker;
 	for (const host of hosts) {
-		follower = host !== asker && await tells(host) ? host : follower;
+		follower = host !== asker && await isFollower(host) ? host : follower;
 	}
 
 	asker.entry.configure(makeConfig());
 	asker.entry.listEndpoints([{...endpoint.listed, address: relayTo(endpointRelay, endpoint.listed.address)}]);
 	follower.entry.storeChanges.tell('config', {at: 9, changedAt: 6});
-	const isEverTold = async (): Promise<boolean> => {
-		for (const end = performance.now() + askForMs; performance.now() < end;) {
-			if (await isTold()) {
+	const isChangeReportedInTime = async (): Promise<boolean> => {
+		for (const end = performance.now() + askTimeoutMs; performance.now() < end;) {
+			if (await isChangeReported()) {
 				return true;
 			}
 
-			// Without a peer to ask the answer needs no input or output, and this loop would keep others from theirs.
+			// Without a peer to ask, a reply needs no input or output, and this loop would keep other tasks of the process from theirs.
 			await nextTurn();
 		}
 
@@ -118,14 +116,14 @@
 	};
 
 	t.not(follower, asker);
-	t.true(await isEverTold());
+	t.true(await isChangeReportedInTime());
 	const before = await callHost(asker.callers, {headers: longDeadline});
 	t.is(before.status, 200);
 	for (const relay of [...relays.values(), endpointRelay]) {
 		relay.silence();
 	}
 
-	t.true(await isEverTold());
+	t.true(await isChangeReportedInTime());
 	const after = await callHost(asker.callers, {headers: longDeadline});
 	t.is(after.status, 200);
 });
