--- a/packages/entry/src/lib/hall-health/hall-monitor.ts
+++ b/packages/entry/src/lib/hall-health/hall-monitor.ts
@@ -3,7 +3,7 @@
 
 /** Detects which other halls are unreachable. */
 export type HallMonitor = {
-	/** Replaces the list of the endpoints that the host uses, in all halls. */
+	/** Replaces the list of the endpoints that the host uses, in all halls. Endpoints that are leaving are not probed. */
 	readonly list: (endpoints: readonly ListedEndpoint[]) => void;
 	/** Whether a hall is unreachable; never true of the host's own hall. */
 	readonly isUnreachable: (hall: string) => boolean;
--- a/packages/entry/src/lib/hall-health/step-hall-reach.ts
+++ b/packages/entry/src/lib/hall-health/step-hall-reach.ts
@@ -7,7 +7,7 @@
 /** After a successful probe, the hall is not probed for this long, in ms, so that slow endpoints do not bring one probe after the other. */
 const reachedProbePauseMs = 1000;
 
-/** After a failed probe, the hall is not probed for this long, in ms; an unreachable hall is then probed at once. */
+/** An unreachable hall is probed again this long, in ms, after its last probe failed, also without open attempts. */
 const unreachableProbePauseMs = 400;
 
 type Step = {readonly reach: HallReach; /** Whether the hall is to be probed now. */ readonly isProbeDue: boolean};
--- a/packages/entry/src/lib/own-health/step-shedding.ts
+++ b/packages/entry/src/lib/own-health/step-shedding.ts
@@ -1,7 +1,7 @@
 /** The most requests that a host keeps open at once while it cannot keep up, and until it has recovered; `undefined` without a limit. */
 type OpenLimit = number | undefined;
 
-/** A host always serves this many requests: without any, it would not learn that it keeps up again. */
+/** The least limit. A host always serves a few requests: without any, it would not learn that it keeps up again. */
 const minOpenLimit = 4;
 
 /** The factor of the limit at each step while the host is late. With ten steps a second, a third of the limit is left after a second. */
--- a/packages/entry/src/lib/sending/send-attempt.ts
+++ b/packages/entry/src/lib/sending/send-attempt.ts
@@ -7,8 +7,8 @@
 import type {ConnectionPool} from './connection-pool.js';
 
 /**
-If a request on a reused connection has got no response head after this long, in ms, when it ends, the idle connections to its endpoint
-are closed: what silenced one connection has mostly silenced them all. Closing them costs one new connection each, also when the
+When a request on a reused connection ends without a response head after at least this time, in ms, the idle connections to its endpoint
+are closed: what silenced one connection has mostly silenced them all. Closing them costs one new connection each, and no more if the
 endpoint was only slow.
 */
 const silentAfterMs = 1000;
--- a/packages/entry/src/lib/sending/track-attempt.ts
+++ b/packages/entry/src/lib/sending/track-attempt.ts
@@ -11,7 +11,7 @@
 };
 
 type TrackedAttempt = {
-	/** Aborts this attempt: the request is over, or the hall is unreachable. */
+	/** Aborts this attempt: when the request is over, or when the hall is unreachable and the request may be retried elsewhere. */
 	readonly signal: AbortSignal;
 	/** Tells the hall monitor that the attempt has ended. */
 	readonly end: () => void;
--- a/packages/entry/src/test/silent-connections.test.ts
+++ b/packages/entry/src/test/silent-connections.test.ts
@@ -30,14 +30,14 @@
 test('silent connections to an endpoint cost one request, however many connections were idle', async t => {
 	const respondTogether = answerTogether(3);
 	const endpoint = await startEndpoint('e0', (req, res) => {
-		const answer = (): void => {
+		const respond = (): void => {
 			res.end('fine');
 		};
 
 		if (req.url === '/together') {
-			respondTogether(answer);
+			respondTogether(respond);
 		} else {
-			answer();
+			respond();
 		}
 	});
 	const [relay, host] = await Promise.all([startRelay(), startHost(createMemoryRightsStore())]);
