--- a/packages/entry/src/lib/budget-pacing/create-budget-pacer.ts
+++ b/packages/entry/src/lib/budget-pacing/create-budget-pacer.ts
@@ -1,5 +1,5 @@
 import {openReservations, viewStore, type BudgetRights} from '@deckwheel/ledger';
-import {holdersOf} from '../rights-store/holders-of.js';
+import {countHolders} from '../rights-store/count-holders.js';
 import {remainingTokens} from '../rights-store/remaining-tokens.js';
 import type {Accounts} from '../rights/accounts.js';
 import {demandRate} from '../rights/demand-rate.js';
@@ -65,7 +65,7 @@
 			rate,
 			fleetRate: fleetTokensPerSecond,
 			demandShare,
-			holders: holdersOf(rights, holder),
+			holders: countHolders(rights, holder),
 		};
 	};
 
--- a/packages/entry/src/lib/budget-pacing/is-after-deaths.ts
+++ b/packages/entry/src/lib/budget-pacing/is-after-deaths.ts
@@ -1,5 +1,5 @@
 import type {BudgetRights} from '@deckwheel/ledger';
-import {sumUpBudget} from '../rights-store/sum-up-budget.js';
+import {summariseBudget} from '../rights-store/summarise-budget.js';
 import {retiredHolder} from '../rights-store/retired-holder.js';
 
 /** Lives that ended with less than this part of what is left, 0 to 1, were planned stops, which give back what they hold, or took nothing to speak of. */
@@ -15,6 +15,6 @@
 */
 export const isAfterDeaths = (rights: BudgetRights, left: number): boolean => {
 	const ended = rights.holders[retiredHolder];
-	const {charged, stranded} = sumUpBudget(rights);
+	const {charged, stranded} = summariseBudget(rights);
 	return ended !== undefined && ended.billed > charged / 2 && stranded > left * strandedPart;
 };
--- a/packages/entry/src/lib/rights-store/create-draw-queue.ts
+++ b/packages/entry/src/lib/rights-store/create-draw-queue.ts
@@ -15,28 +15,28 @@
 	readonly now: () => number;
 };
 
-/** Creates the queue of requests that wait for rights. One write serves all that waited when it was planned. */
+/** Creates the queue of requests that wait for a draw of rights from the store. One write to a slot serves all requests that were waiting when the write was planned. */
 export const createDrawQueue = ({accounts, writer, now}: Options): DrawQueue => {
 	let waiters: readonly Waiter[] = [];
 
 	const flushFor = async (waiter: Waiter): Promise<void> => {
 		const slot = writer().slotOf(waiter.budget);
-		// A write that is under way was planned without this request.
+		// A write of the slot that is in flight was planned before this request joined the queue, so it draws nothing for the request.
 		await writer().untilIdle(slot);
 		if (!waiters.includes(waiter)) {
 			return;
 		}
 
-		const isJoined = writer().isBusy(slot);
+		const hasJoinedWrite = writer().isBusy(slot);
 		const planned = waiters.filter(({budget}) => writer().slotOf(budget) === slot);
 		await writer().flush(slot);
-		if (isJoined) {
+		if (hasJoinedWrite) {
 			return;
 		}
 
-		const concerned = planned.filter(entry => waiters.includes(entry));
-		waiters = waiters.filter(entry => !concerned.includes(entry));
-		for (const entry of concerned) {
+		const served = planned.filter(entry => waiters.includes(entry));
+		waiters = waiters.filter(entry => !served.includes(entry));
+		for (const entry of served) {
 			entry.resolve(accounts.tryReserve(entry.budget, entry.tokens) ? 'reserved' : 'unavailable');
 		}
 	};
@@ -55,11 +55,11 @@
 				budget,
 				tokens,
 				resolve(outcome) {
-					clearTimeout(giveUp);
+					clearTimeout(deadlineTimer);
 					resolve(outcome);
 				},
 			};
-			const giveUp = setTimeout(() => {
+			const deadlineTimer = setTimeout(() => {
 				waiters = waiters.filter(entry => entry !== waiter);
 				resolve('unavailable');
 			}, deadline - now());
--- a/packages/entry/src/lib/rights-store/create-restore-recovery.ts
+++ b/packages/entry/src/lib/rights-store/create-restore-recovery.ts
@@ -5,16 +5,17 @@
 import type {RestoreRecovery} from './restore-recovery.js';
 
 /**
-How long nothing is drawn after this host noticed the restore, in ms. Holders write again meanwhile what they hold: what the copy lacks of
-that would be drawn twice. As long as a host may take to hear of it, and for a write.
+How long this host draws nothing from the store after it noticed that the store was restored from an older copy, in ms. In this time the other
+holders write again what they hold: holdings that the copy lacks would otherwise be drawn a second time. The pause covers the longest time that
+a host may take to learn of the restore, and one write.
 */
 const drawPauseMs = 5000;
 
-/** A restore that is noticed by several calls within this time is one, in ms. */
-const sameRestoreMs = 1000;
+/** Several calls to the store may notice the same restore. Notices within this time of the first one, in ms, count as one restore. */
+const sameRestoreWindowMs = 1000;
 
-/** Between two tries to write again what the store lost, in ms. */
-const writeAgainMs = 500;
+/** The delay before a failed rewrite of what the restored store lost is retried, in ms. */
+const rewriteRetryMs = 500;
 
 type Options = {
 	readonly accounts: Accounts;
@@ -24,34 +25,37 @@
 	readonly now: () => number;
 };
 
-/** Creates the recovery of a host that has noticed no restore. It writes again what the host holds, and keeps it from drawing until others had time for that. */
+/**
+Creates the recovery of a host that has noticed no restore of the store yet. After a restore it writes again what the host holds, and pauses the
+host's draws until the other hosts had time to write again what they hold.
+*/
 export const createRestoreRecovery = ({accounts, writer, log, now}: Options): RestoreRecovery => {
-	const closing = new AbortController();
-	let notedAt = Number.NEGATIVE_INFINITY;
+	const closeController = new AbortController();
+	let noticedAt = Number.NEGATIVE_INFINITY;
 
-	const writeAgain = async (slot: number): Promise<void> => {
-		while (!closing.signal.aborted && !await writer.flush(slot)) {
-			await sleep(writeAgainMs);
+	const rewriteSlot = async (slot: number): Promise<void> => {
+		while (!closeController.signal.aborted && !await writer.flush(slot)) {
+			await sleep(rewriteRetryMs);
 		}
 	};
 
 	return {
 		noteRestored() {
-			if (now() - notedAt < sameRestoreMs) {
+			if (now() - noticedAt < sameRestoreWindowMs) {
 				return;
 			}
 
-			notedAt = now();
+			noticedAt = now();
 			const held = accounts.budgets().filter(budget => accounts.get(budget).granted !== 0);
 			const slots = new Set(held.map(budget => writer.slotOf(budget)));
 			log('rights_restored', {budgets: held.length});
 			for (const slot of slots) {
-				void writeAgain(slot);
+				void rewriteSlot(slot);
 			}
 		},
-		isDrawPaused: () => now() - notedAt < drawPauseMs,
+		isDrawPaused: () => now() - noticedAt < drawPauseMs,
 		close() {
-			closing.abort();
+			closeController.abort();
 		},
 	};
 };
--- a/packages/entry/src/lib/rights-store/create-slot-cache.ts
+++ b/packages/entry/src/lib/rights-store/create-slot-cache.ts
@@ -5,52 +5,53 @@
 import type {StoreState} from './store-state.js';
 
 /**
-A look at the store before a write is worth it when what is known is older than this, in ms. A look costs a tenth of a
-call, a write that meets a conflict a whole one.
+Before a write, the store is peeked at if the cached object is older than this, in ms. A peek costs a tenth of a call; a write
+that meets a conflict costs a whole call.
 */
 const peekAfterMs = 200;
 
-/** The store answers in a few ms; where it is slow, the write itself tells. In ms. */
+/** How long a peek may take, in ms. The store usually replies in a few ms; if the store is slower, the write itself finds a conflict. */
 const peekTimeoutMs = 100;
 
-/** What this host has seen of the slots' objects in the store. */
+/** The objects of the slots as this host last read them from the store. */
 type SlotCache = {
 	readonly get: (slot: number) => KnownSlot | undefined;
-	/** Takes in an object as the store just gave it. */
+	/** Caches an object that the store has just returned. */
 	readonly note: (slot: number, stored: StoredRights) => KnownSlot;
+	/** Reads the object from the store and caches it; `undefined` if that failed. */
 	readonly read: (slot: number) => Promise<KnownSlot | undefined>;
-	/** The newest that a cheap look shows, or else what was known. */
+	/** Peeks at the store unless `known` was read a moment ago. Returns the newer of the peeked and the cached object. */
 	readonly refresh: (slot: number, known: KnownSlot) => Promise<KnownSlot>;
 };
 
 type Options = {
 	readonly store: RightsStore;
 	readonly state: StoreState;
-	/** Called when an object shows that the store came back from an older copy. */
+	/** Called when the era of an object shows that the store was restored from an older copy. */
 	readonly onRestored: () => void;
 	/** Monotonic ms. */
 	readonly now: () => number;
 };
 
-/** Creates a cache that knows no slot. What it knew before the store was restored is kept in what it knows after it. */
+/** Creates an empty cache. When an object is of a later era than the cached one, the store was restored in between; the cached rights are then merged into the restored ones. */
 export const createSlotCache = ({store, state, onRestored, now}: Options): SlotCache => {
 	const slots = new Map<number, KnownSlot>();
 
-	const keep = (slot: number, stored: StoredRights, readAt: number): KnownSlot => {
+	const update = (slot: number, stored: StoredRights, readAt: number): KnownSlot => {
 		const known = slots.get(slot);
 		const {era = 0} = stored;
 		const isRestored = known !== undefined && era > (known.era ?? 0);
 		const rights = isRestored ? mergeRestored(known.rights, stored.rights, era) : stored.rights;
-		const noted = {...stored, rights, readAt};
-		slots.set(slot, noted);
+		const updated = {...stored, rights, readAt};
+		slots.set(slot, updated);
 		if (isRestored) {
 			onRestored();
 		}
 
-		return noted;
+		return updated;
 	};
 
-	const note: SlotCache['note'] = (slot, stored) => keep(slot, stored, now());
+	const note: SlotCache['note'] = (slot, stored) => update(slot, stored, now());
 
 	return {
 		get: slot => slots.get(slot),
@@ -60,16 +61,16 @@
 			state.note(outcome.ok || outcome.error.type === 'unreadable');
 			return outcome.ok ? note(slot, outcome.value) : undefined;
 		},
-		// Most writes would meet a change of another hall. Of what a cheap look shows, only the newer is taken, and its age
-		// is not known to be less than that of what was known before.
+		// Without a peek, most writes would conflict with a write of another hall. A peek may show an older revision, which is ignored.
+		// A newer one keeps the `readAt` of the cached object: a peek does not tell how old the object that it shows is.
 		async refresh(slot, known) {
 			if (!state.isUp() || now() - known.readAt < peekAfterMs) {
 				return known;
 			}
 
-			const seen = await store.peek(`slot-${slot}`, peekTimeoutMs);
+			const peeked = await store.peek(`slot-${slot}`, peekTimeoutMs);
 			const latest = slots.get(slot) ?? known;
-			return !seen || seen.revision <= latest.revision ? latest : keep(slot, seen, latest.readAt);
+			return !peeked || peeked.revision <= latest.revision ? latest : update(slot, peeked, latest.readAt);
 		},
 	};
 };
--- a/packages/entry/src/lib/rights-store/create-slot-writer.ts
+++ b/packages/entry/src/lib/rights-store/create-slot-writer.ts
@@ -5,18 +5,18 @@
 import type {Accounts} from '../rights/accounts.js';
 import type {BudgetLimits} from '../rights/budget-limits.js';
 import {createSlotCache} from './create-slot-cache.js';
-import {findStranded} from './find-stranded.js';
+import {findStrandedRights} from './find-stranded-rights.js';
 import type {KnownSlot} from './known-slot.js';
 import {planSlotWrite} from './plan-slot-write.js';
 import {slotCount} from './slot-count.js';
 import type {SlotWriter} from './slot-writer.js';
 import type {StoreState} from './store-state.js';
 
-/** Writes of one turn that may meet a conflict before the turn is given up; the next turn tries again. */
-const maxConflicts = 8;
+/** The most writes that one flush makes when each of them meets a conflict. After that the flush fails, and the next flush writes again. */
+const maxWriteAttempts = 8;
 
-/** After a second conflict, writers that met spread over this time, in ms, and more with each further one. */
-const conflictPauseMs = 10;
+/** The longest random delay after the second conflict of a flush, in ms, and as much more after each further conflict. It spreads hosts that write to the same slot. */
+const conflictDelayMs = 10;
 
 type Options = {
 	readonly host: string;
@@ -25,11 +25,11 @@
 	readonly state: StoreState;
 	readonly accounts: Accounts;
 	readonly limits: () => BudgetLimits;
-	/** Whether this host has anything to say of a budget: hosts that only borrow do not. */
-	readonly isConcerned: (budget: string) => boolean;
-	/** Decides the draw on a budget once the store's side is known. */
-	readonly wants: (budget: string) => (view: StoreView, rights: BudgetRights) => number;
-	/** Called when the store came back from an older copy. */
+	/** Whether this host writes an entry of its own for a budget; hosts that only borrow do not. */
+	readonly isEntryNeeded: (budget: string) => boolean;
+	/** Returns the function that decides how many tokens to draw on a budget, given the store's record of it. */
+	readonly drawAmountOf: (budget: string) => (view: StoreView, rights: BudgetRights) => number;
+	/** Called when the store was found to have been restored from an older copy. */
 	readonly onRestored: () => void;
 	readonly log: Log;
 	/** Monotonic ms. */
@@ -37,34 +37,34 @@
 };
 
 /**
-Creates the writer of this host's rights. A write states totals, so that one whose answer was lost can be made again.
+Creates the writer of this host's rights. Each write states totals, so that a write whose result was lost can safely be retried.
 
-It owns what is known of the store's objects (`createSlotCache`) and the writes under way; what is written is decided by
-`planSlotWrite`.
+The writer owns the cache of the store's objects (`createSlotCache`) and the writes in flight. `planSlotWrite` decides what
+is written.
 */
-export const createSlotWriter = ({host, holder, store, state, accounts, limits, isConcerned, wants, onRestored, log, now}: Options): SlotWriter => {
+export const createSlotWriter = ({host, holder, store, state, accounts, limits, isEntryNeeded, drawAmountOf, onRestored, log, now}: Options): SlotWriter => {
 	const cache = createSlotCache({
 		store, state, onRestored, now,
 	});
-	const busy = new Map<number, Promise<boolean>>();
+	const runningFlushes = new Map<number, Promise<boolean>>();
 
 	const slotOf = (budget: string): number => slotOfBudget(budget, slotCount);
 	const limitsOf = (slot: number): ReadonlyMap<string, number> =>
 		new Map([...limits().byBudget].filter(([budget]) => slotOf(budget) === slot));
 
-	const takeGrant = (budget: string, granted: number, rest: number | undefined): void => {
+	const applyGrant = (budget: string, granted: number, unallocated: number | undefined): void => {
 		const drawn = granted - accounts.get(budget).granted;
 		accounts.apply(budget, {type: 'granted', total: granted});
 		if (drawn > 0) {
 			log('rights_drawn', {
-				budget, tokens: drawn, granted, rest,
+				budget, tokens: drawn, granted, rest: unallocated,
 			});
 		}
 	};
 
 	const writeSlot = async (slot: number, known: KnownSlot): Promise<'done' | 'again' | 'failed'> => {
 		const plan = planSlotWrite({
-			host, holder, rights: known.rights, limits: limitsOf(slot), version: limits().version, era: known.era, accountOf: accounts.get, isConcerned, wants,
+			host, holder, rights: known.rights, limits: limitsOf(slot), version: limits().version, era: known.era, accountOf: accounts.get, isEntryNeeded, drawAmountOf,
 		});
 		if (plan.type === 'deposed') {
 			return 'failed';
@@ -74,12 +74,12 @@
 		if (outcome.ok) {
 			state.note(true);
 			cache.note(slot, outcome.value);
-			for (const stranded of findStranded(known.rights, plan.rights)) {
+			for (const stranded of findStrandedRights(known.rights, plan.rights)) {
 				log('rights_stranded', stranded);
 			}
 
 			for (const {budget, granted} of plan.grants) {
-				takeGrant(budget, granted, plan.rest.get(budget));
+				applyGrant(budget, granted, plan.rest.get(budget));
 			}
 
 			return 'done';
@@ -95,18 +95,18 @@
 	};
 
 	const flushSlot = async (slot: number): Promise<boolean> => {
-		for (let tries = 0; tries < maxConflicts; tries++) {
+		for (let attempt = 0; attempt < maxWriteAttempts; attempt++) {
 			const known = cache.get(slot) ?? await cache.read(slot);
 			if (!known) {
 				return false;
 			}
 
-			const result = await writeSlot(slot, tries === 0 ? await cache.refresh(slot, known) : known);
+			const result = await writeSlot(slot, attempt === 0 ? await cache.refresh(slot, known) : known);
 			if (result !== 'again') {
 				return result === 'done';
 			}
 
-			await sleep(Math.random() * conflictPauseMs * tries);
+			await sleep(Math.random() * conflictDelayMs * attempt);
 		}
 
 		return false;
@@ -120,28 +120,28 @@
 			const limit = byBudget.get(budget);
 			return rights && limit !== undefined && version >= (rights.limitVersion ?? 0) ? {...rights, limit} : rights;
 		},
-		ageOf: budget => now() - (cache.get(slotOf(budget))?.readAt ?? 0),
+		rightsAgeMs: budget => now() - (cache.get(slotOf(budget))?.readAt ?? 0),
 		async refresh(slot) {
 			const known = cache.get(slot);
 			if (known) {
 				await cache.refresh(slot, known);
 			}
 		},
-		isBusy: slot => busy.has(slot),
+		isBusy: slot => runningFlushes.has(slot),
 		async untilIdle(slot) {
-			await busy.get(slot);
+			await runningFlushes.get(slot);
 		},
 		async flush(slot) {
-			const running = busy.get(slot);
+			const running = runningFlushes.get(slot);
 			if (running) {
 				return running;
 			}
 
-			const turn = flushSlot(slot);
-			busy.set(slot, turn);
-			const isDone = await turn;
-			busy.delete(slot);
-			return isDone;
+			const flushing = flushSlot(slot);
+			runningFlushes.set(slot, flushing);
+			const isWritten = await flushing;
+			runningFlushes.delete(slot);
+			return isWritten;
 		},
 	};
 };
--- a/packages/entry/src/lib/rights-store/create-store-state.ts
+++ b/packages/entry/src/lib/rights-store/create-store-state.ts
@@ -1,20 +1,20 @@
 import type {Log} from '../../adapter/log.js';
 import type {StoreState} from './store-state.js';
 
-/** The pause after a first failed call, in ms, doubled with each further one. */
-const firstPauseMs = 300;
+/** The delay after the first failed call before the store may be called again, in ms. It doubles with each further failure. */
+const firstRetryDelayMs = 300;
 
-/** The longest pause, in ms. Shorter ones find the store sooner and have more held when all hosts die. */
-const longestPauseMs = 2000;
+/** The longest delay between two calls to a store that fails, in ms. With a shorter one, hosts notice a recovered store sooner, and hold more rights at the time when all hosts crash. */
+const maxRetryDelayMs = 2000;
 
 /**
-Creates the state of a store that is taken to answer.
+Creates the state of a store that is assumed to be up.
 
 @param now Monotonic ms.
 */
 export const createStoreState = (log: Log, now: () => number): StoreState => {
 	let isUp = true;
-	/** When it last fell silent or answered again. */
+	/** When the store last went down or came up again, in monotonic ms. */
 	let changedAt = Number.NEGATIVE_INFINITY;
 	let failures = 0;
 	let retryAt = 0;
@@ -23,15 +23,15 @@
 		upSince: () => isUp ? changedAt : now(),
 		downMs: () => isUp ? 0 : now() - changedAt,
 		mayCall: () => now() >= retryAt,
-		note(isAnswered) {
-			if (isAnswered !== isUp) {
-				isUp = isAnswered;
+		note(hasAnswered) {
+			if (hasAnswered !== isUp) {
+				isUp = hasAnswered;
 				changedAt = now();
 				log(isUp ? 'store_regained' : 'store_lost');
 			}
 
-			failures = isAnswered ? 0 : failures + 1;
-			retryAt = isAnswered ? 0 : now() + Math.min(longestPauseMs, firstPauseMs * (2 ** (failures - 1)));
+			failures = hasAnswered ? 0 : failures + 1;
+			retryAt = hasAnswered ? 0 : now() + Math.min(maxRetryDelayMs, firstRetryDelayMs * (2 ** (failures - 1)));
 		},
 	};
 };
--- a/packages/entry/src/lib/rights-store/draw-queue.ts
+++ b/packages/entry/src/lib/rights-store/draw-queue.ts
@@ -1,7 +1,7 @@
-/** Requests that wait for a draw from the store. */
+/** The queue of requests that wait for a draw of rights from the store. */
 export type DrawQueue = {
-	/** Waits for rights drawn for this request, until `deadline` (monotonic ms). */
+	/** Waits until rights were drawn for this request and reserves them. Resolves with `unavailable` if the draw brought too little, or at `deadline` (monotonic ms). */
 	readonly draw: (budget: string, tokens: number, deadline: number) => Promise<'reserved' | 'unavailable'>;
-	/** What waiting requests lack beyond what is available, in tokens. */
+	/** Tokens that the waiting requests of a budget need beyond what this host has available. */
 	readonly missing: (budget: string) => number;
 };
--- a/packages/entry/src/lib/rights-store/find-stranded.ts
+++ b/packages/entry/src/lib/rights-store/find-stranded-rights.ts
@@ -1,18 +1,18 @@
 import type {RightsObject} from '@deckwheel/ledger';
 
-/** What an ended life leaves of a budget that nobody can use any more, in tokens, as of its last write. */
+/** Rights on a budget that an ended incarnation of a host held and that no host can use any more, in tokens, as of the incarnation's last write. */
 type StrandedRights = {
 	readonly budget: string;
-	/** The name of that life. */
+	/** The name of the ended incarnation as a holder of rights. */
 	readonly holder: string;
-	/** Its open requests, at their most. */
+	/** Reserved for its open requests: their worst case. */
 	readonly open: number;
-	/** What it held beyond them. */
+	/** Held beyond what was reserved. */
 	readonly held: number;
 };
 
-/** Finds what the lives leave charged that a write folds into one. Pure. */
-export const findStranded = (before: RightsObject, after: RightsObject): readonly StrandedRights[] =>
+/** Finds the rights that a write strands: those of the ended incarnations that the write folds into the retired holder's entry. Pure. */
+export const findStrandedRights = (before: RightsObject, after: RightsObject): readonly StrandedRights[] =>
 	Object.entries(before.budgets).flatMap(([budget, {holders}]) => Object.entries(holders)
 		.filter(([holder]) => after.budgets[budget]?.holders[holder] === undefined)
 		.map(([holder, {granted, transferred, settled, reserved: open = 0}]) => ({
--- a/packages/entry/src/lib/rights-store/host-of-holder.ts
+++ b/packages/entry/src/lib/rights-store/host-of-holder.ts
@@ -1,2 +1,2 @@
-/** The name of a host, from its name as a holder of rights. */
+/** Returns the name of a host, given the name of one of its incarnations as a holder of rights (`host#incarnation`). */
 export const hostOfHolder = (holder: string): string => holder.slice(0, holder.lastIndexOf('#'));
--- a/packages/entry/src/lib/rights-store/known-slot.ts
+++ b/packages/entry/src/lib/rights-store/known-slot.ts
@@ -1,7 +1,7 @@
 import type {StoredRights} from '../../adapter/stored-rights.js';
 
-/** An object of rights as this host last saw it. */
+/** The object of a slot as this host last read it from the store. */
 export type KnownSlot = StoredRights & {
-	/** Monotonic ms. */
+	/** When the object was read, in monotonic ms. */
 	readonly readAt: number;
 };
--- a/packages/entry/src/lib/rights-store/merge-restored.ts
+++ b/packages/entry/src/lib/rights-store/merge-restored.ts
@@ -7,15 +7,17 @@
 
 const sequenceOf = (entry: HolderRights): number => entry.written?.sequence ?? 0;
 
-// An entry's writes are counted; entries of earlier versions tell no count.
-const newer = (before: HolderRights, found: HolderRights): HolderRights => {
+// Entries carry a sequence number that each write increments. Entries that earlier versions of the program wrote have none and count as 0; of
+// two entries with the same number, the one with more granted tokens is taken as the newer.
+const pickNewer = (before: HolderRights, found: HolderRights): HolderRights => {
 	const difference = sequenceOf(found) - sequenceOf(before);
 	return difference > 0 || (difference === 0 && found.granted > before.granted) ? found : before;
 };
 
 /**
-Which of both has more lives folded: a holder that the later one lacks was folded in it. `undefined` where none was folded in between, or
-where lives were folded in both eras.
+Finds which of two entries of the retired holder was written later: the one seen `before` the restore or the one `found` after it. A holder
+that is missing beside the later entry was folded into it. `undefined` if neither is later, or if incarnations were folded in the new era: then
+the order cannot be told from the sequence numbers.
 */
 const findLaterFold = (before: HolderRights | undefined, found: HolderRights | undefined, era: number): 'before' | 'found' | undefined => {
 	const difference = (found ? sequenceOf(found) : 0) - (before ? sequenceOf(before) : 0);
@@ -31,10 +33,10 @@
 		return found ?? before;
 	}
 
-	return isWrittenIn(found, era) ? found : newer(before, found);
+	return isWrittenIn(found, era) ? found : pickNewer(before, found);
 };
 
-// What it was charged when it was folded was an earlier state of it.
+// The entry was folded after the restore, in the earlier state that the copy had of it. Charges the retired holder with what the entry holds beyond that state.
 const addFolded = (retired: HolderRights, name: string, entry: HolderRights): HolderRights => {
 	const missing = Math.max(0, entry.granted + entry.transferred - retired.folded![name]!);
 	return {
@@ -52,7 +54,7 @@
 	for (const [name, entry] of Object.entries(found)) {
 		const isFolded = before[name] === undefined && laterFold === 'before' && !isWrittenIn(entry, era);
 		if (name !== retiredHolder && !isFolded) {
-			merged[name] = before[name] ? newer(before[name], entry) : entry;
+			merged[name] = before[name] ? pickNewer(before[name], entry) : entry;
 		}
 	}
 
@@ -76,13 +78,13 @@
 };
 
 /**
-Brings what this host read before the store was restored into the copy that it reads now. Pure.
+Merges an object of rights that this host read before the store was restored into the object that it reads after the restore. Pure.
 
-The copy lacks what was written last, and holds what was written since. Of each holder the newer entry counts. Where that cannot be told,
-what is charged counts: a budget is rather used too little than overspent.
+The restored object lacks the last writes before the restore, and contains the writes since. Of each holder the newer entry counts. Where it
+cannot be told which one is newer, the charge counts: it is better to leave part of a budget unused than to overspend it.
 
-@param before The object as this host last saw it in an earlier era.
-@param found The object as it is in the new one.
+@param before The object as this host last read it, in an earlier era of the store.
+@param found The object as this host reads it in the new era.
 @param era The new era.
 */
 export const mergeRestored = (before: RightsObject, found: RightsObject, era: number): RightsObject => {
--- a/packages/entry/src/lib/rights-store/plan-slot-write.ts
+++ b/packages/entry/src/lib/rights-store/plan-slot-write.ts
@@ -5,27 +5,28 @@
 import type {HostAccount} from '../rights/host-account.js';
 import {prepareRights} from './prepare-rights.js';
 
-/** Writes of hosts are ordered by the store's revisions, and a holder's name by itself tells one life; no epoch is needed. */
+/** No epoch is needed: the store's revisions order the writes of all hosts, and a holder's name identifies a single incarnation. */
 const noEpoch = 0;
 
 type Inputs = {
 	readonly host: string;
 	readonly holder: string;
-	/** The object as last seen. */
+	/** The slot's object as last read. */
 	readonly rights: RightsObject;
-	/** Prepaid tokens of the slot's budgets, by the configuration of this version. */
+	/** Prepaid tokens of the slot's budgets, by budget, as configured. */
 	readonly limits: ReadonlyMap<string, number>;
+	/** The version of the configuration that states the limits. */
 	readonly version: number;
-	/** The era of the store in which this is written; by default the first. */
+	/** The era of the store in which the object is written; by default the first. */
 	readonly era?: number;
 	readonly accountOf: (budget: string) => HostAccount;
-	/** Whether this host has anything to say of a budget: hosts that only borrow do not. */
-	readonly isConcerned: (budget: string) => boolean;
-	/** Decides the draw on a budget once the store's side is known. */
-	readonly wants: (budget: string) => (view: StoreView, rights: BudgetRights) => number;
+	/** Whether this host writes an entry of its own for a budget; hosts that only borrow do not. */
+	readonly isEntryNeeded: (budget: string) => boolean;
+	/** Returns the function that decides how many tokens to draw on a budget, given the store's record of it. */
+	readonly drawAmountOf: (budget: string) => (view: StoreView, rights: BudgetRights) => number;
 };
 
-const drawRequest = (budget: string, rights: BudgetRights, {holder, era = 0, accountOf, wants}: Inputs): DrawRequest => {
+const createDrawRequest = (budget: string, rights: BudgetRights, {holder, era = 0, accountOf, drawAmountOf}: Inputs): DrawRequest => {
 	const account = accountOf(budget);
 	return {
 		budget,
@@ -36,18 +37,18 @@
 		billed: account.settled,
 		reserved: account.reserved,
 		written: {era, sequence: (rights.holders[holder]?.written?.sequence ?? 0) + 1},
-		wants: view => wants(budget)(view, rights),
+		wants: view => drawAmountOf(budget)(view, rights),
 	};
 };
 
-/** Works out one write of a slot: limits and ended lives brought up to date, and what this host holds, spent and draws. Pure. */
+/** Plans one write of a slot's object. The write updates the limits, retires this host's ended incarnations, and states what this host holds, has spent and draws. Pure. */
 export const planSlotWrite = (inputs: Inputs): DrawPlan => {
-	const {host, holder, limits, version, era = 0, isConcerned} = inputs;
+	const {host, holder, limits, version, era = 0, isEntryNeeded} = inputs;
 	const prepared = prepareRights(inputs.rights, {
 		host, holder, limits, version, era,
 	});
 	const requests = [...limits.keys()]
-		.filter(budget => prepared.budgets[budget] !== undefined && isConcerned(budget))
-		.map(budget => drawRequest(budget, prepared.budgets[budget]!, inputs));
+		.filter(budget => prepared.budgets[budget] !== undefined && isEntryNeeded(budget))
+		.map(budget => createDrawRequest(budget, prepared.budgets[budget]!, inputs));
 	return planDraw(prepared, holder, noEpoch, requests);
 };
--- a/packages/entry/src/lib/rights-store/prepare-rights.ts
+++ b/packages/entry/src/lib/rights-store/prepare-rights.ts
@@ -3,13 +3,13 @@
 
 type Inputs = {
 	readonly host: string;
-	/** The name of this life of the host, as a holder of rights. */
+	/** The name of this incarnation of the host as a holder of rights. */
 	readonly holder: string;
 	/** Prepaid tokens by budget, as the configuration has them. */
 	readonly limits: ReadonlyMap<string, number>;
 	/** The version of that configuration. */
 	readonly version: number;
-	/** The era of the store in which this is written; by default the first. */
+	/** The era of the store in which the object is written; by default the first. */
 	readonly era?: number;
 };
 
@@ -21,8 +21,8 @@
 	organisation: budget, limit: 0, limitVersion: 0, topUps: [], holders: {},
 });
 
-// What an ended life had not reported is as good as spent: nobody can tell how much of it was.
-const merge = (a: HolderRights, b: HolderRights): HolderRights => {
+// All that an ended incarnation held is charged as spent: how much it had spent after its last write cannot be known.
+const addAsSpent = (a: HolderRights, b: HolderRights): HolderRights => {
 	const granted = a.granted + b.granted;
 	const transferred = a.transferred + b.transferred;
 	return {
@@ -35,7 +35,8 @@
 	};
 };
 
-// Others may know an entry better than the copy from which the store was restored: they add what it lacks.
+// An entry of an earlier era may be older than the last write before the store was restored. What it was charged is noted under its name, so
+// that a host that read a newer state of the entry can add the difference.
 const noteFolded = (retired: HolderRights, name: string, {granted, transferred, written}: HolderRights, era: number): HolderRights =>
 	written && written.era < era ? {...retired, folded: {...retired.folded, [name]: granted + transferred}} : retired;
 
@@ -48,7 +49,7 @@
 	const kept = Object.entries(holders).filter(([name]) => !ended.includes(name) && name !== retiredHolder);
 	let retired = holders[retiredHolder] ?? noRights;
 	for (const name of ended) {
-		retired = noteFolded(merge(retired, holders[name]!), name, holders[name]!, era);
+		retired = noteFolded(addAsSpent(retired, holders[name]!), name, holders[name]!, era);
 	}
 
 	const written = {era, sequence: (holders[retiredHolder]?.written?.sequence ?? 0) + 1};
@@ -62,14 +63,14 @@
 });
 
 /**
-Brings an object of rights up to date before this host writes to it: the limits of the newest configuration,
-and the entries of this host's own earlier lives folded into one. A host starts anew only when its process has ended,
-so nobody spends from those any more; what they had not reported stays charged. A budget that cannot be read is left as it is: one
-made anew would have nothing spent.
+Updates an object of rights before this host writes it: applies the limits of the newest configuration, and folds the entries of this host's
+ended incarnations into the entry of the retired holder. A host starts only after its previous process has ended, so no process spends from
+those entries any more; what the ended incarnations had not reported stays charged. A budget whose record cannot be read is left as it is,
+because a newly made record would state that nothing was spent. Pure.
 */
 export const prepareRights = (rights: RightsObject, inputs: Inputs): RightsObject => {
-	const known = [...inputs.limits]
+	const prepared = [...inputs.limits]
 		.filter(([budget]) => !Object.hasOwn(rights.unreadable ?? {}, budget))
 		.map(([budget, limit]) => [budget, prepareBudget(rights.budgets[budget] ?? emptyBudget(budget), limit, inputs)] as const);
-	return {...rights, budgets: {...rights.budgets, ...Object.fromEntries(known)}};
+	return {...rights, budgets: {...rights.budgets, ...Object.fromEntries(prepared)}};
 };
--- a/packages/entry/src/lib/rights-store/remaining-tokens.ts
+++ b/packages/entry/src/lib/rights-store/remaining-tokens.ts
@@ -3,11 +3,12 @@
 import {viewRights} from './view-rights.js';
 
 /**
-What remains of a budget by its record in the store, in tokens: neither spent, nor held by lives that have ended. Pure.
+Returns what remains of a budget by its record in the store, in tokens: neither spent nor held by incarnations that have ended. Pure.
 
-The record has a host's spending as of its last write, which may be as old as an outage; this host's own is counted as it is now.
+The record states each host's spending as of the host's last write, which may lie before an outage of the store. This host's own spending
+is counted as it is now.
 
-@param holder The name of this life of the host.
+@param holder The name of this incarnation of the host as a holder of rights.
 */
 export const remainingTokens = (rights: BudgetRights, holder: string, {settled}: Pick<HostAccount, 'settled'>): number => {
 	const unreported = settled - (rights.holders[holder]?.settled ?? 0);
--- a/packages/entry/src/lib/rights-store/retired-holder.ts
+++ b/packages/entry/src/lib/rights-store/retired-holder.ts
@@ -1,2 +1,2 @@
-/** The holder that stands for hosts' lives that have ended. What they held stays spent. */
+/** The name of the holder whose entry sums up all ended incarnations of hosts. What they held counts as spent. */
 export const retiredHolder = 'retired';
--- a/packages/entry/src/lib/rights-store/store-state.ts
+++ b/packages/entry/src/lib/rights-store/store-state.ts
@@ -1,11 +1,13 @@
-/** Whether the store of rights answers, and when it is worth calling it. */
+/** Whether the store of rights is up, and when it may be called. */
 export type StoreState = {
+	/** Whether the last call to the store got a response; `true` before the first call. */
 	readonly isUp: () => boolean;
-	/** When it answered again after it was last out of reach, in monotonic ms; minus infinity where it never was, now while it does not answer. */
+	/** When the store came up after it was last down, in monotonic ms; minus infinity if it was never down, the present time while it is down. */
 	readonly upSince: () => number;
-	/** How long it has been out of reach, in ms; 0 while it answers. */
+	/** How long the store has been down, in ms; 0 while it is up. */
 	readonly downMs: () => number;
-	/** Whether a call may be made now: after failures there is a growing pause. */
+	/** Whether the store may be called now: after failures there is a growing delay. */
 	readonly mayCall: () => boolean;
-	readonly note: (isAnswered: boolean) => void;
+	/** Notes whether a call to the store got a response. */
+	readonly note: (hasAnswered: boolean) => void;
 };
--- a/packages/entry/src/lib/rights-store/sum-up-budget.ts
+++ b/packages/entry/src/lib/rights-store/summarise-budget.ts
@@ -1,27 +1,27 @@
 import {unallocated, type BudgetRights} from '@deckwheel/ledger';
 import {retiredHolder} from './retired-holder.js';
 
-/** Where the tokens of a budget are, by its record in the store. */
-type BudgetSums = {
-	/** Prepaid. */
+/** Where the tokens of a budget are, by its record in the store. Amounts are tokens. */
+type BudgetSummary = {
+	/** Prepaid by the organisation. */
 	readonly limit: number;
-	/** Nobody has them. Negative when endpoints served beyond their reservations. */
+	/** Held and spent by no host. Negative when endpoints used more than was reserved for their requests. */
 	readonly unallocated: number;
 	/** Charged for requests that have ended. */
 	readonly charged: number;
-	/** Set aside for open requests, at their most. */
+	/** Reserved for open requests: their worst case. */
 	readonly open: number;
-	/** Held by hosts, and free to be reserved there. */
+	/** Held by hosts and not reserved. */
 	readonly held: number;
-	/** What ended lives had neither charged nor given back when they last wrote: open requests that broke, and rights that nobody can use any more. */
+	/** What ended incarnations of hosts had neither charged nor given back when they last wrote: the reservations of requests that were cut off, and rights that no host can use any more. */
 	readonly stranded: number;
 };
 
 /**
-Sums up a budget. Pure. Hosts tell of the others as of their last writes; what was lent to hosts that do not write is in
-none of the sums.
+Summarises a budget. Pure. The record states each host's tokens as of the host's last write. What was lent to hosts that do not write to the
+store is in none of the sums.
 */
-export const sumUpBudget = (rights: BudgetRights): BudgetSums => {
+export const summariseBudget = (rights: BudgetRights): BudgetSummary => {
 	const sums = {
 		charged: 0, open: 0, held: 0, stranded: 0,
 	};
--- a/packages/entry/src/lib/rights/create-rights-acquirer.ts
+++ b/packages/entry/src/lib/rights/create-rights-acquirer.ts
@@ -62,7 +62,7 @@
 		await queue.draw(budget, tokens, deadline) === 'reserved';
 
 	const isExhausted: RightsAcquirer['isExhausted'] = (budget, tokens) => isBudgetExhausted({
-		rights: writer.rightsOf(budget), ageMs: writer.ageOf(budget), holder, tokens,
+		rights: writer.rightsOf(budget), ageMs: writer.rightsAgeMs(budget), holder, tokens,
 	});
 
 	return {
--- a/packages/entry/src/lib/rights/create-rights-manager.ts
+++ b/packages/entry/src/lib/rights/create-rights-manager.ts
@@ -50,7 +50,7 @@
 		holder, accounts, rightsOf: budget => writer.rightsOf(budget), startedAt: now(), now,
 	});
 	const shortageLog = createShortageLog({
-		rightsOf: budget => writer.rightsOf(budget), ageOf: budget => writer.ageOf(budget), log, now,
+		rightsOf: budget => writer.rightsOf(budget), rightsAgeMs: budget => writer.rightsAgeMs(budget), log, now,
 	});
 	let largestRequest = 0;
 	const holdingPolicy = holdingPolicyByRate(holdingPolicySettings, () => largestRequest, () => planHorizon(state.upSince(), now(), holdingPolicySettings.horizonSeconds));
@@ -66,8 +66,8 @@
 		state,
 		accounts,
 		limits: () => limits,
-		isConcerned: budget => accounts.get(budget).granted !== 0 || queue.missing(budget) > 0 || allocators.drawsAhead(budget),
-		wants: budget => (view, rights) => planDrawAmount({
+		isEntryNeeded: budget => accounts.get(budget).granted !== 0 || queue.missing(budget) > 0 || allocators.drawsAhead(budget),
+		drawAmountOf: budget => (view, rights) => planDrawAmount({
 			account: accounts.get(budget), available: accounts.available(budget), missing: queue.missing(budget), view, rights, holder, holdingPolicy, isPaused: isRetiring || recovery.isDrawPaused(),
 		}),
 		onRestored() {
--- a/packages/entry/src/lib/rights/is-budget-exhausted.ts
+++ b/packages/entry/src/lib/rights/is-budget-exhausted.ts
@@ -1,5 +1,5 @@
 import {openReservations, viewStore, type BudgetRights} from '@deckwheel/ledger';
-import {viewTrustMs} from '../rights-store/view-trust-ms.js';
+import {maxViewAgeMs} from '../rights-store/max-view-age-ms.js';
 
 type Inputs = {
 	/** The store's record of the budget; `undefined` while it was never read. */
@@ -19,4 +19,4 @@
 sends many times its usual would be told to come back again and again: 491 of 639 refusals of a quiet day were of one such.
 */
 export const isBudgetExhausted = ({rights, ageMs, holder, tokens}: Inputs): boolean =>
-	rights !== undefined && ageMs < viewTrustMs && viewStore(rights, holder, 0).remaining - openReservations(rights) < tokens;
+	rights !== undefined && ageMs < maxViewAgeMs && viewStore(rights, holder, 0).remaining - openReservations(rights) < tokens;
--- a/packages/entry/src/lib/rights/plan-draw-amount.ts
+++ b/packages/entry/src/lib/rights/plan-draw-amount.ts
@@ -1,7 +1,7 @@
 import {
 	drawAmount, type BudgetRights, type HoldingPolicy, type StoreView,
 } from '@deckwheel/ledger';
-import {holdersOf} from '../rights-store/holders-of.js';
+import {countHolders} from '../rights-store/count-holders.js';
 import {remainingTokens} from '../rights-store/remaining-tokens.js';
 import {demandRate} from './demand-rate.js';
 import type {HostAccount} from './host-account.js';
@@ -31,7 +31,7 @@
 		...view,
 		remaining: remainingTokens(rights, holder, account),
 		tokensPerSecond: demandRate(account),
-		holders: holdersOf(rights, holder),
+		holders: countHolders(rights, holder),
 	});
 	return drawAmount({target, available, missing});
 };
--- a/packages/entry/src/lib/rights/start-rights-balance.ts
+++ b/packages/entry/src/lib/rights/start-rights-balance.ts
@@ -2,12 +2,12 @@
 import type {Log} from '../../adapter/log.js';
 import type {Allocators} from '../lending/allocators.js';
 import type {Borrower} from '../lending/borrower.js';
-import {holdersOf} from '../rights-store/holders-of.js';
+import {countHolders} from '../rights-store/count-holders.js';
 import type {SlotWriter} from '../rights-store/slot-writer.js';
 import type {StoreState} from '../rights-store/store-state.js';
 import {viewRights} from '../rights-store/view-rights.js';
-import {trustedView} from '../rights-store/trusted-view.js';
-import {viewTrustMs} from '../rights-store/view-trust-ms.js';
+import {adjustStaleView} from '../rights-store/adjust-stale-view.js';
+import {maxViewAgeMs} from '../rights-store/max-view-age-ms.js';
 import type {RightsBalance} from './rights-balance.js';
 import {mayDraw} from './may-draw.js';
 import {planRights} from './plan-rights.js';
@@ -61,10 +61,10 @@
 		const plan = planRights({
 			account,
 			holdingPolicy,
-			holders: holdersOf(rights, holder),
+			holders: countHolders(rights, holder),
 			isOverGranted: unallocated(rights) < 0,
 			isStoreUp: state.isUp(),
-			store: trustedView(view, writer.ageOf(budget)),
+			store: adjustStaleView(view, writer.rightsAgeMs(budget)),
 		});
 		if (plan.type === 'give_back') {
 			// Rights leave this host before the store hears of it.
@@ -96,10 +96,10 @@
 
 	// Who holds rights that it does not use learns only so that a budget has shrunk, and gives back what is too much.
 	const lookAtHeld = (): void => {
-		const held = accounts.budgets().filter(budget => isConcerned(budget) && accounts.available(budget) > 0 && writer.ageOf(budget) >= viewTrustMs);
+		const held = accounts.budgets().filter(budget => isConcerned(budget) && accounts.available(budget) > 0 && writer.rightsAgeMs(budget) >= maxViewAgeMs);
 		const slots = new Set(held.map(budget => writer.slotOf(budget)));
 		for (const slot of slots) {
-			if (!writer.isBusy(slot) && now() - (lookedAt.get(slot) ?? -viewTrustMs) >= viewTrustMs) {
+			if (!writer.isBusy(slot) && now() - (lookedAt.get(slot) ?? -maxViewAgeMs) >= maxViewAgeMs) {
 				lookedAt.set(slot, now());
 				void writer.refresh(slot);
 			}
@@ -134,7 +134,7 @@
 	}, Math.random() * tickMs);
 	return {
 		mayDraw: budget => !isDrawPaused() && mayDraw({
-			rights: writer.rightsOf(budget), ageMs: writer.ageOf(budget), mayCall: state.mayCall(), isRetiring: isRetiring(),
+			rights: writer.rightsOf(budget), ageMs: writer.rightsAgeMs(budget), mayCall: state.mayCall(), isRetiring: isRetiring(),
 		}),
 		close() {
 			clearInterval(timer);
--- a/packages/entry/src/test/create-slot-writer.test.ts
+++ b/packages/entry/src/test/create-slot-writer.test.ts
@@ -23,8 +23,8 @@
 		state: createStoreState(() => undefined, now),
 		accounts,
 		limits: () => ({version: 1, byBudget: new Map([['org', 1000]])}),
-		isConcerned: () => true,
-		wants: () => () => 10,
+		isEntryNeeded: () => true,
+		drawAmountOf: () => () => 10,
 		onRestored: () => undefined,
 		log: () => undefined,
 		now,
@@ -36,7 +36,7 @@
 			time += 10_000;
 			return writer.flush(slot);
 		},
-		ageOf: () => writer.ageOf('org'),
+		ageOf: () => writer.rightsAgeMs('org'),
 	};
 };
 
--- a/packages/entry/src/test/prepare-rights.test.ts
+++ b/packages/entry/src/test/prepare-rights.test.ts
@@ -56,7 +56,7 @@
 	const stored = {budgets: {}, unreadable: {b: null}};
 	t.deepEqual(prepareRights(stored, inputs), stored);
 	const plan = planSlotWrite({
-		...inputs, rights: stored, accountOf: () => emptyHostAccount, isConcerned: () => true, wants: () => () => 100,
+		...inputs, rights: stored, accountOf: () => emptyHostAccount, isEntryNeeded: () => true, drawAmountOf: () => () => 100,
 	});
 	t.is(plan.type, 'write');
 	if (plan.type === 'write') {
--- a/packages/entry/src/test/rights-after-deaths.test.ts
+++ b/packages/entry/src/test/rights-after-deaths.test.ts
@@ -23,8 +23,8 @@
 		limits,
 		version: 1,
 		accountOf: () => account,
-		isConcerned: () => true,
-		wants: () => (view, own) => planDrawAmount({
+		isEntryNeeded: () => true,
+		drawAmountOf: () => (view, own) => planDrawAmount({
 			account, available: account.granted - account.settled, missing: 0, view, rights: own, holder, holdingPolicy, isPaused: isRetiring,
 		}),
 	});
--- a/packages/entry/src/test/sum-up-budget.test.ts
+++ b/packages/entry/src/test/summarise-budget.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
 import type {BudgetRights, HolderRights} from '@deckwheel/ledger';
 import {createShortageLog} from '../lib/rights-store/create-shortage-log.js';
-import {findStranded} from '../lib/rights-store/find-stranded.js';
+import {findStrandedRights} from '../lib/rights-store/find-stranded-rights.js';
 import {prepareRights} from '../lib/rights-store/prepare-rights.js';
-import {sumUpBudget} from '../lib/rights-store/sum-up-budget.js';
+import {summariseBudget} from '../lib/rights-store/summarise-budget.js';
 
 const entry = (granted: number, settled: number, reserved: number): HolderRights => ({
 	epoch: 0, granted, transferred: 0, rate: 0, settled, billed: settled, reserved,
@@ -16,10 +16,10 @@
 };
 
 test('the sums of a budget add up to its limit, before and after a life has ended', t => {
-	t.deepEqual(sumUpBudget(rights), {
+	t.deepEqual(summariseBudget(rights), {
 		limit: 1000, unallocated: 500, charged: 300, open: 50, held: 150, stranded: 0,
 	});
-	t.deepEqual(sumUpBudget(prepareRights({budgets: {org: rights}}, next).budgets.org!), {
+	t.deepEqual(summariseBudget(prepareRights({budgets: {org: rights}}, next).budgets.org!), {
 		limit: 1000, unallocated: 500, charged: 300, open: 0, held: 0, stranded: 200,
 	});
 });
@@ -27,10 +27,10 @@
 test('what an ended life leaves charged is told once, when it is folded', t => {
 	const before = {budgets: {org: rights}};
 	const after = prepareRights(before, next);
-	t.deepEqual(findStranded(before, after), [{
+	t.deepEqual(findStrandedRights(before, after), [{
 		budget: 'org', holder: 'a#1', open: 50, held: 150,
 	}]);
-	t.deepEqual(findStranded(after, prepareRights(after, next)), []);
+	t.deepEqual(findStrandedRights(after, prepareRights(after, next)), []);
 });
 
 test('a budget that goes on refusing has one line in two seconds', t => {
@@ -38,7 +38,7 @@
 	const lines: unknown[] = [];
 	const log = createShortageLog({
 		rightsOf: budget => budget === 'org' ? rights : undefined,
-		ageOf: () => 12.4,
+		rightsAgeMs: () => 12.4,
 		log(event, fields) {
 			lines.push([event, fields]);
 		},
