--- a/packages/entry/src/lib/host/start-peer-tasks.ts
+++ b/packages/entry/src/lib/host/start-peer-tasks.ts
@@ -67,7 +67,7 @@
 		onSilence(peer) {
 			links.suspect(peer);
 		},
-		askTimeoutMs: timeouts.peerMs,
+		replyTimeoutMs: timeouts.peerMs,
 		log,
 		now,
 	});
--- a/packages/entry/src/lib/lending/allocators.ts
+++ b/packages/entry/src/lib/lending/allocators.ts
@@ -1,13 +1,13 @@
 import type {ListedPeer} from '../../adapter/listed-peer.js';
 
-/** Who draws rights from the store for this hall. */
+/** The hosts that draw rights from the store for this hall. */
 export type Allocators = {
 	/** Whether this host draws a budget's rights, for itself or for its hall. */
 	readonly isAllocator: (budget: string) => boolean;
-	/** Whether this host draws them ahead of demand, and does not only stand by. */
+	/** Whether this host draws a budget's rights ahead of demand, rather than only as the standby of the first allocator. */
 	readonly drawsAhead: (budget: string) => boolean;
-	/** The other allocators of this hall, in the order in which they are asked. */
+	/** The other allocators of this hall, in the order in which they are asked for rights. */
 	readonly others: (budget: string) => readonly ListedPeer[];
-	/** Whether a peer of this hall depends on this host for a budget. */
+	/** Whether a peer borrows a budget's rights from this host as one of its allocators: the peer is of this hall, and no allocator itself. */
 	readonly isClient: (holder: string, budget: string) => boolean;
 };
--- a/packages/entry/src/lib/lending/borrower.ts
+++ b/packages/entry/src/lib/lending/borrower.ts
@@ -1,13 +1,13 @@
 import type {LoanNeed} from './loan-need.js';
 
-/** Borrows rights of peers, and hands back what is too much. */
+/** Borrows rights from peers, and hands back rights that this host does not need. */
 export type Borrower = {
 	/**
-	Asks peers in turn until what is needed can be reserved, or all were asked.
+	Asks peers one after the other for rights until the needed tokens can be reserved, or all peers were asked.
 
-	@returns Whether a peer answered that draws for this host and reaches the store.
+	@returns Whether one of the peers replied that it draws rights for this host and reaches the store.
 	*/
 	readonly borrow: (need: LoanNeed) => Promise<boolean>;
-	/** Hands idle rights back to the allocator that this host borrows from. Resolves when it answered, or did not in time. */
+	/** Hands idle rights back to the allocator that this host borrows from first. Resolves when the allocator replied or the request timed out. */
 	readonly handBackIdle: (budget: string) => Promise<void>;
 };
--- a/packages/entry/src/lib/lending/create-allocators.ts
+++ b/packages/entry/src/lib/lending/create-allocators.ts
@@ -4,7 +4,7 @@
 import {rankAllocators} from './rank-allocators.js';
 
 type Options = {
-	/** The name of this life of the host. */
+	/** The name of this incarnation of the host as a holder of rights. */
 	readonly holder: string;
 	readonly links: () => Pick<PeerLinks, 'hallPeers' | 'hallSize'>;
 	readonly slotOf: (budget: string) => number;
@@ -12,11 +12,11 @@
 
 type Ranking = {readonly peers: readonly ListedPeer[]; readonly bySlot: Map<number, readonly ListedPeer[]>};
 
-/** Creates the view of who draws for this hall. Rankings are kept until the hall's peers change. */
+/** Creates the view of the hosts that draw rights for this hall. Rankings are cached by slot until the list of the hall's peers changes. */
 export const createAllocators = ({holder, links, slotOf}: Options): Allocators => {
 	let ranking: Ranking = {peers: [], bySlot: new Map()};
 
-	const ofBudget = (budget: string): readonly ListedPeer[] => {
+	const allocatorsOf = (budget: string): readonly ListedPeer[] => {
 		const peers = links().hallPeers();
 		if (peers !== ranking.peers) {
 			ranking = {peers, bySlot: new Map()};
@@ -31,17 +31,17 @@
 	const isAmong = (allocators: readonly ListedPeer[], name: string): boolean => allocators.some(peer => peer.holder === name);
 
 	return {
-		isAllocator: budget => isAmong(ofBudget(budget), holder),
+		isAllocator: budget => isAmong(allocatorsOf(budget), holder),
 		drawsAhead(budget) {
-			const allocators = ofBudget(budget);
-			const isForItself = allocators.length === links().hallPeers().length;
-			return allocators[0]?.holder === holder || (isForItself && isAmong(allocators, holder));
+			const allocators = allocatorsOf(budget);
+			const isEveryHostAllocator = allocators.length === links().hallPeers().length;
+			return allocators[0]?.holder === holder || (isEveryHostAllocator && isAmong(allocators, holder));
 		},
-		others: budget => ofBudget(budget).filter(peer => peer.holder !== holder),
+		others: budget => allocatorsOf(budget).filter(peer => peer.holder !== holder),
 		isClient(name, budget) {
-			const allocators = ofBudget(budget);
-			const isNear = isAmong(links().hallPeers(), name);
-			return isNear && isAmong(allocators, holder) && !isAmong(allocators, name);
+			const allocators = allocatorsOf(budget);
+			const isInHall = isAmong(links().hallPeers(), name);
+			return isInHall && isAmong(allocators, holder) && !isAmong(allocators, name);
 		},
 	};
 };
--- a/packages/entry/src/lib/lending/create-borrower.ts
+++ b/packages/entry/src/lib/lending/create-borrower.ts
@@ -5,45 +5,45 @@
 import type {Borrower} from './borrower.js';
 import type {LoanClient} from './loan-client.js';
 import type {LoanNeed} from './loan-need.js';
-import {rankOfNeeds} from './rank-of-needs.js';
+import {mostUrgentRank} from './most-urgent-rank.js';
 import {planBorrowing} from './plan-borrowing.js';
 
 type Options = {
 	readonly accounts: Accounts;
 	readonly loanClient: LoanClient;
-	/** The allocators of this hall, in the order in which they are asked. */
+	/** The allocators of this hall, in the order in which they are asked for rights. */
 	readonly allocatorsOf: (budget: string) => readonly ListedPeer[];
 	readonly log: Log;
 	/** Monotonic ms. */
 	readonly now: () => number;
 };
 
-/** A question that is under way. */
-type Turn = Pick<LoanNeed, 'source'> & {
-	/** Resolves with whether a peer answered that draws for this host and reaches the store. */
+/** A request to peers for a loan that is in flight. */
+type PendingLoan = Pick<LoanNeed, 'source'> & {
+	/** Resolves with whether one of the peers replied that it draws rights for this host and reaches the store. */
 	readonly hasReachedStore: Promise<boolean>;
 };
 
 /**
-Creates the borrower of a host. Only one question for a budget is under way at a time; requests that come meanwhile wait
-for what it brings, and the next question asks for all of them at once.
+Creates the borrower of a host. Only one loan for a budget is requested from peers at a time. Requests that arrive in the meantime wait for
+the pending loan, and the next loan is requested for all of them at once.
 
-What that one brings counts for all of them: were each to ask again when it brought too little, the last of them would wait
-for the questions of all others (17.9 s, while peers did not answer, where a fifth of a second is meant).
+The result of that loan is final for all requests that it was made for. If each of them requested another loan when this one brought too
+little, the last one would wait for the loans of all others: 17.9 s were measured while peers did not reply, where 0.2 s are intended.
 */
 export const createBorrower = ({accounts, loanClient, allocatorsOf, log, now}: Options): Borrower => {
-	const underWay = new Map<string, Turn>();
-	const lastAsked = new Map<string, number>();
-	/** All requests that wait, by budget. */
-	const waiting = new Map<string, readonly LoanNeed[]>();
+	const pendingLoans = new Map<string, PendingLoan>();
+	const lastTokens = new Map<string, number>();
+	/** The needs of all requests that wait for a loan, by budget. */
+	const waitingNeeds = new Map<string, readonly LoanNeed[]>();
 
 	const planOf = (budget: string, tokens: number) => planBorrowing({
 		available: accounts.available(budget), rate: demandRate(accounts.get(budget)), tokens,
 	});
 
-	const waitingFor = (budget: string): readonly LoanNeed[] => waiting.get(budget) ?? [];
+	const waitingFor = (budget: string): readonly LoanNeed[] => waitingNeeds.get(budget) ?? [];
 
-	const tokensOf = (needs: readonly LoanNeed[]): number => {
+	const sumTokens = (needs: readonly LoanNeed[]): number => {
 		let sum = 0;
 		for (const {tokens} of needs) {
 			sum += tokens;
@@ -52,34 +52,34 @@
 		return sum;
 	};
 
-	/** Asks for all that wait, this request among them. */
-	const askForAll = async ({budget, tokens, source, peers, deadline}: LoanNeed): Promise<boolean> => {
-		lastAsked.set(budget, tokens);
-		const all = tokensOf(waitingFor(budget));
+	/** Requests one loan for all requests that wait, the given one among them. */
+	const borrowForAll = async ({budget, tokens, source, peers, deadline}: LoanNeed): Promise<boolean> => {
+		lastTokens.set(budget, tokens);
+		const allTokens = sumTokens(waitingFor(budget));
 		const hasReachedStore = loanClient.borrow({
 			budget,
-			tokens: planOf(budget, all).wanted,
-			demanded: accounts.get(budget).demanded + all,
-			rank: rankOfNeeds(waitingFor(budget)),
+			tokens: planOf(budget, allTokens).wanted,
+			demanded: accounts.get(budget).demanded + allTokens,
+			rank: mostUrgentRank(waitingFor(budget)),
 			peers,
 			deadline,
-			isEnough: () => accounts.available(budget) >= all,
+			isEnough: () => accounts.available(budget) >= allTokens,
 		});
-		underWay.set(budget, {source, hasReachedStore});
+		pendingLoans.set(budget, {source, hasReachedStore});
 		await hasReachedStore;
-		underWay.delete(budget);
+		pendingLoans.delete(budget);
 		return hasReachedStore;
 	};
 
-	/** Waits while questions are under way, and asks if none of them asked for this request and it still lacks something. */
+	/** Waits for the pending loans of the budget, and requests one if none of them was made for this request and the request still lacks tokens. */
 	const borrowInTurn = async (need: LoanNeed): Promise<boolean> => {
 		const {budget, tokens, source, peers, deadline = Number.POSITIVE_INFINITY} = need;
-		const askedAt = now();
-		const earlier = underWay.get(budget);
+		const startedAt = now();
+		const firstPending = pendingLoans.get(budget);
 		let hasReachedStore = false;
-		for (let turn = earlier; turn; turn = underWay.get(budget)) {
-			hasReachedStore = await turn.hasReachedStore;
-			if (turn !== earlier && turn.source === source) {
+		for (let pending = firstPending; pending; pending = pendingLoans.get(budget)) {
+			hasReachedStore = await pending.hasReachedStore;
+			if (pending !== firstPending && pending.source === source) {
 				return hasReachedStore;
 			}
 		}
@@ -88,22 +88,23 @@
 			return hasReachedStore;
 		}
 
-		// Waiting for the questions before this one takes nothing off the time for this one.
-		return askForAll({...need, deadline: deadline + now() - askedAt});
+		// The time that the request waited for earlier loans is added to the deadline, so that its own loan has the full time.
+		return borrowForAll({...need, deadline: deadline + now() - startedAt});
 	};
 
 	return {
 		async borrow(need) {
-			waiting.set(need.budget, [...waitingFor(need.budget), need]);
+			waitingNeeds.set(need.budget, [...waitingFor(need.budget), need]);
 			const hasReachedStore = await borrowInTurn(need);
-			// Later than the next question begins: what was lent for this request counts as available until it takes it.
-			waiting.set(need.budget, waitingFor(need.budget).filter(entry => entry !== need));
+			// The need is removed only after the next loan was requested: the tokens lent for this request still count as available then, so they must
+			// still count as needed too.
+			waitingNeeds.set(need.budget, waitingFor(need.budget).filter(entry => entry !== need));
 			return hasReachedStore;
 		},
 		async handBackIdle(budget) {
 			const [allocator] = allocatorsOf(budget);
-			const {surplus} = planOf(budget, lastAsked.get(budget) ?? 0);
-			if (surplus === 0 || !allocator || underWay.has(budget)) {
+			const {surplus} = planOf(budget, lastTokens.get(budget) ?? 0);
+			if (surplus === 0 || !allocator || pendingLoans.has(budget)) {
 				return;
 			}
 
--- a/packages/entry/src/lib/lending/create-lender.ts
+++ b/packages/entry/src/lib/lending/create-lender.ts
@@ -19,7 +19,7 @@
 	readonly log: Log;
 };
 
-/** Creates the function that answers a peer that asks for rights. Rights leave this host's account before the reply is sent. */
+/** Creates the function that replies to a peer's loan request. Rights leave this host's account before the reply is sent. */
 export const createLender = ({accounts, allocators, acquirer, budgetPacer, isStoreUp, isRetiring, log}: Options) => {
 	const clientDemand = createClientDemand();
 
@@ -27,26 +27,26 @@
 		const givenTo = (): number => accounts.get(budget).given.get(to) ?? 0;
 		const isClient = allocators.isClient(to, budget);
 		const share = loanShare(isClient);
-		const isRefused = isClient && rank !== undefined && budgetPacer.keptFor(budget, rank.tokens, rank.priority) !== undefined;
-		// Hosts that draw for themselves, here or in other halls, are peers in need and no lasting demand on this one.
+		const isKept = isClient && rank !== undefined && budgetPacer.keptFor(budget, rank.tokens, rank.priority) !== undefined;
+		// Only a client's demand counts as demand on this host. Hosts of this or another hall that draw for themselves ask only when they lack rights.
 		if (isClient) {
 			accounts.apply(budget, {type: 'demanded', by: 'client', tokens: clientDemand.note(to, budget, demanded)});
-			if (!isRefused) {
+			if (!isKept) {
 				await acquirer.acquireForClient(budget, Math.ceil(planLoan({asked: tokens, given: givenTo(), received}) / share));
 			}
 		}
 
-		// Another question of the same peer may have been answered in the meantime.
-		const missing = isRetiring() || isRefused ? 0 : planLoan({asked: tokens, given: givenTo(), received});
-		const {lent, total} = accounts.lend(budget, {to, tokens: missing, share});
+		// Planned anew after the wait above: another loan request of the same peer may have been replied to in the meantime.
+		const toLend = isRetiring() || isKept ? 0 : planLoan({asked: tokens, given: givenTo(), received});
+		const {lent, total} = accounts.lend(budget, {to, tokens: toLend, share});
 		if (isClient && rank && lent > 0) {
 			budgetPacer.note(budget, rank.priority, rank.tokens);
 		}
 
 		log('rights_lent', {
-			to, budget, asked: tokens, lent, total, kept: isRefused,
+			to, budget, asked: tokens, lent, total, kept: isKept,
 		});
-		// Another allocator got what was at hand; nothing was drawn for it, so it may still draw for itself.
-		return {total, reachesStore: isClient && isStoreUp() && !isRetiring(), isKept: isRefused};
+		// Only a client is told that this host reaches the store. For another allocator nothing was drawn, so that one may still draw for itself.
+		return {total, reachesStore: isClient && isStoreUp() && !isRetiring(), isKept};
 	};
 };
--- a/packages/entry/src/lib/lending/create-loan-client.ts
+++ b/packages/entry/src/lib/lending/create-loan-client.ts
@@ -7,52 +7,52 @@
 import type {LoanRequest} from './loan-request.js';
 import {loanReplySchema} from './loan-reply-schema.js';
 
-/** Peers asked for one request: a bound on its messages. */
-const maxAsked = 6;
+/** The most peers that are asked in one call of `borrow`, which bounds its number of messages. */
+const maxPeersAsked = 6;
 
 type LoanMessage = LoanRequest & {readonly type: 'lend'};
 
 type Options = {
 	readonly mesh: () => Mesh | undefined;
-	/** All that this host knows to have got from a lender. */
+	/** The total that this host knows to have received from a lender on a budget, in tokens. */
 	readonly receivedFrom: (budget: string, lender: string) => number;
-	/** Called with what a lender ever gave in total. */
+	/** Called with the total that a lender ever gave to this host on a budget, in tokens. */
 	readonly onLoan: (budget: string, from: string, total: number) => void;
-	/** Called when a peer could not be reached, or was silent twice in a row. */
+	/** Called when a peer was unreachable, or did not reply twice in a row. */
 	readonly onSilence: (address: string) => void;
-	/** How long one peer may take to answer, in ms. */
-	readonly askTimeoutMs: number;
+	/** How long one peer may take to reply, in ms. */
+	readonly replyTimeoutMs: number;
 	readonly log: Log;
 	/** Monotonic ms. */
 	readonly now: () => number;
 };
 
-/** Creates the client of loans. A lost reply strands nothing for good: the next one carries the total again. */
-export const createLoanClient = ({mesh, receivedFrom, onLoan, onSilence, askTimeoutMs, log, now}: Options): LoanClient => {
-	const silent = new Set<string>();
+/** Creates the client that requests loans from peers. Rights in a lost reply are not lost: each reply carries the total, so the next one makes up for it. */
+export const createLoanClient = ({mesh, receivedFrom, onLoan, onSilence, replyTimeoutMs, log, now}: Options): LoanClient => {
+	const silentPeers = new Set<string>();
 
-	// A first silence may be a link that is being opened, or a lender that waits for the store.
+	// After a first missing reply the peer is not yet reported: its link may still be opening, or it may be waiting for the store.
 	const noteSilence = (address: string, error: LinkError): void => {
-		if (error === 'unreachable' || silent.has(address)) {
-			silent.delete(address);
+		if (error === 'unreachable' || silentPeers.has(address)) {
+			silentPeers.delete(address);
 			onSilence(address);
 			return;
 		}
 
-		silent.add(address);
+		silentPeers.add(address);
 	};
 
-	const ask = async (link: Mesh, address: string, question: LoanMessage, timeoutMs: number): Promise<LoanReply | undefined> => {
-		const reply = await link.request(address, question, timeoutMs);
+	const requestLoan = async (link: Mesh, address: string, message: LoanMessage, timeoutMs: number): Promise<LoanReply | undefined> => {
+		const reply = await link.request(address, message, timeoutMs);
 		if (!reply.ok) {
 			noteSilence(address, reply.error);
 			return undefined;
 		}
 
-		silent.delete(address);
-		const loan = readPeerReply(loanReplySchema, reply.value, {address, type: question.type}, log);
+		silentPeers.delete(address);
+		const loan = readPeerReply(loanReplySchema, reply.value, {address, type: message.type}, log);
 		if (loan) {
-			onLoan(question.budget, loan.lender, loan.total);
+			onLoan(message.budget, loan.lender, loan.total);
 		}
 
 		return loan;
@@ -62,14 +62,14 @@
 		async borrow({budget, tokens, demanded, rank, peers, deadline = Number.POSITIVE_INFINITY, isEnough}) {
 			const byAddress = new Map(peers.map(peer => [peer.address, peer.holder]));
 			let hasReachedStore = false;
-			for (const [address, holder] of [...byAddress].slice(0, maxAsked)) {
+			for (const [address, holder] of [...byAddress].slice(0, maxPeersAsked)) {
 				const link = mesh();
-				const timeoutMs = Math.min(askTimeoutMs, deadline - now());
+				const timeoutMs = Math.min(replyTimeoutMs, deadline - now());
 				if (!link || timeoutMs <= 0) {
 					break;
 				}
 
-				const reply = await ask(link, address, {
+				const reply = await requestLoan(link, address, {
 					type: 'lend', budget, tokens, demanded, received: receivedFrom(budget, holder), ...(rank && {rank}),
 				}, timeoutMs);
 				hasReachedStore ||= reply?.reachesStore ?? false;
@@ -83,13 +83,13 @@
 		async handBack({address, holder}, budget, total) {
 			const reply = await mesh()?.request(address, {
 				type: 'hand_back', to: holder, budget, total,
-			}, askTimeoutMs);
-			const told = reply?.ok ? readPeerReply(handBackReplySchema, reply.value, {address, type: 'hand_back'}, log) : undefined;
-			if (!told) {
+			}, replyTimeoutMs);
+			const content = reply?.ok ? readPeerReply(handBackReplySchema, reply.value, {address, type: 'hand_back'}, log) : undefined;
+			if (!content) {
 				return 'unknown';
 			}
 
-			return told.isTaken ? 'taken' : 'refused';
+			return content.isTaken ? 'taken' : 'refused';
 		},
 	};
 };
--- a/packages/entry/src/lib/lending/hand-back-reply-schema.ts
+++ b/packages/entry/src/lib/lending/hand-back-reply-schema.ts
@@ -1,4 +1,4 @@
 import {z} from 'zod';
 
-/** The reply to rights that were handed back: whether the life of the host that they are meant for took them. */
+/** The reply to a `hand_back` message: whether the rights were taken, which only the incarnation of the host that the message is addressed to does. */
 export const handBackReplySchema = z.object({isTaken: z.boolean()});
--- a/packages/entry/src/lib/lending/loan-client.ts
+++ b/packages/entry/src/lib/lending/loan-client.ts
@@ -1,14 +1,20 @@
 import type {ListedPeer} from '../../adapter/listed-peer.js';
-import type {LoanQuestion} from './loan-question.js';
+import type {BorrowOptions} from './borrow-options.js';
 
-/** The asking side of loans between hosts. The answering side is `createLender`. */
+/** The borrowing side of loans between hosts. The lending side is `createLender`. */
 export type LoanClient = {
 	/**
-	Asks peers in turn, until it is enough or the time is over.
+	Asks peers one after the other for rights, until this host has enough, a peer keeps the rest of the budget for more urgent requests, or the
+	deadline has passed.
 
-	@returns Whether a peer answered that draws for this host and reaches the store.
+	@returns Whether one of the peers replied that it draws rights for this host and reaches the store.
+	*/
+	readonly borrow: (options: BorrowOptions) => Promise<boolean>;
+	/**
+	Hands rights back to a peer by telling it the total that this host ever gave to it, in tokens.
+
+	@returns `refused` if another incarnation of the peer's host replied, which proves that the given incarnation has ended; `unknown` without
+	a readable reply.
 	*/
-	readonly borrow: (question: LoanQuestion) => Promise<boolean>;
-	/** Tells a peer what this host ever gave it in total. `refused`: another life of it answered, which proves that this one has ended. */
 	readonly handBack: (peer: ListedPeer, budget: string, total: number) => Promise<'taken' | 'refused' | 'unknown'>;
 };
--- a/packages/entry/src/lib/lending/loan-need.ts
+++ b/packages/entry/src/lib/lending/loan-need.ts
@@ -1,16 +1,17 @@
 import type {ListedPeer} from '../../adapter/listed-peer.js';
 import type {RightsSource} from '../rights/rights-source.js';
 
-/** Rights that a request lacks, and who is to be asked for them. */
+/** The rights that a request needs and this host lacks, and the peers to be asked for them. */
 export type LoanNeed = {
 	readonly budget: string;
+	/** All tokens that the request needs, those that this host has available included. */
 	readonly tokens: number;
-	/** How urgent the request is, 0 the most; `undefined` where nothing is kept from it. */
+	/** How urgent the request is; 0 is the most urgent. `undefined` if no rights are kept from the request for others. */
 	readonly priority?: number;
-	/** What the peers are. A question to the same source that was asked while this request waited counts for it. */
+	/** Which hosts the peers are. A loan that was requested from the same source while this request waited counts for this request too. */
 	readonly source: Exclude<RightsSource, 'store'>;
 	/** In the order in which they are asked. */
 	readonly peers: readonly ListedPeer[];
-	/** Until when peers are asked, in monotonic ms; without it, each may take its time. */
+	/** Until when peers are asked, in monotonic ms; without it, only the timeout of each reply applies. */
 	readonly deadline?: number;
 };
--- a/packages/entry/src/lib/lending/loan-reply-schema.ts
+++ b/packages/entry/src/lib/lending/loan-reply-schema.ts
@@ -1,9 +1,12 @@
 import {z} from 'zod';
 
 /**
-A lender's reply: who it is, since another life of its host may have been asked, all that it ever gave to the asker on
-this budget, and whether it draws for the asker and reaches the store. If so, it lent what there is, and the asker need not draw.
-Where it keeps what is left for more urgent requests, the asker asks nobody else.
+A lender's reply to a loan request.
+
+- `lender`: the lender's name as a holder of rights. It may differ from the name that was asked, if the lender's host restarted.
+- `total`: all that the lender ever gave to the borrower on this budget, in tokens.
+- `reachesStore`: whether the lender draws rights for the borrower and reaches the store. If so, it lent what there is, and the borrower need not draw.
+- `isKept`: whether the lender keeps what is left of the budget for more urgent or for later requests. If so, the borrower asks no other peer.
 */
 export const loanReplySchema = z.object({
 	lender: z.string(), total: z.number().nonnegative(), reachesStore: z.boolean(), isKept: z.boolean().optional(),
--- a/packages/entry/src/lib/lending/loan-reply.ts
+++ b/packages/entry/src/lib/lending/loan-reply.ts
@@ -1,9 +1,9 @@
-/** What a host answers to a peer that asks for rights. */
+/** A host's reply to a peer's loan request. */
 export type LoanReply = {
-	/** All that the peer was ever given on this budget, in tokens. */
+	/** All that this host ever gave to the peer on this budget, in tokens. */
 	readonly total: number;
-	/** Whether this host draws for the peer and reaches the store: then it lent what there is. */
+	/** Whether this host draws rights for the peer and reaches the store. If so, it lent what there is, and the peer need not draw. */
 	readonly reachesStore: boolean;
-	/** Whether what is left is kept for more urgent or for later requests; others that draw for the peer are not asked then. */
+	/** Whether this host keeps what is left of the budget for more urgent or for later requests. If so, the peer asks no other host. */
 	readonly isKept?: boolean;
 };
--- a/packages/entry/src/lib/lending/loan-share.ts
+++ b/packages/entry/src/lib/lending/loan-share.ts
@@ -1,13 +1,14 @@
 /**
-The part of what is available that an allocator lends at once to a host of its own hall, which has no other source. The
-rest is for the next one that asks.
+The part of its available rights, 0 to 1, that an allocator lends at once to a client: a host of its hall that depends on it for rights. The
+rest is left for the next client that asks.
 */
 const clientShare = 0.9;
 
 /**
-The part that any host lends to a host that draws for itself, here or in another hall: both are in need then.
+The part of its available rights, 0 to 1, that a host lends at once to a host that draws for itself, in this or another hall: both may be short
+of rights then.
 */
 const peerShare = 0.5;
 
-/** Decides which part of a host's rights one loan may take, 0 to 1. Pure. */
+/** Decides which part of the lender's available rights, 0 to 1, one loan may take. Pure. */
 export const loanShare = (isClient: boolean): number => isClient ? clientShare : peerShare;
--- a/packages/entry/src/lib/lending/plan-borrowing.ts
+++ b/packages/entry/src/lib/lending/plan-borrowing.ts
@@ -1,41 +1,41 @@
-/** Seconds of its own demand that a host borrows beyond what a request lacks. */
-const borrowSeconds = 1.5;
+/** A host with steady demand borrows this many seconds of its own demand beyond what the waiting requests lack. */
+const borrowAheadSeconds = 1.5;
 
-/** Seconds of its own demand that it keeps at most: twice what it borrows, so that rights do not go to and fro. */
-const keepSeconds = 3;
+/** A host with steady demand keeps at most this many seconds of its own demand: twice what it borrows ahead, so that it does not hand back what it has just borrowed. */
+const maxKeptSeconds = 3;
 
-/** Idle rights this small are not worth a message, in tokens. */
-const keepTokens = 500;
+/** Idle rights of up to this many tokens are kept, since they are not worth a message. */
+const minSurplusTokens = 500;
 
 type Inputs = {
-	/** Tokens that the host may still reserve. */
+	/** Tokens that the host can still reserve. */
 	readonly available: number;
 	/** The host's own demand, in tokens a second. */
 	readonly rate: number;
-	/** What the request needs, or the last one needed. */
+	/** Tokens that the waiting requests need, or that the last request needed. */
 	readonly tokens: number;
 };
 
 type BorrowingPlan = {
-	/** What to ask for. */
+	/** Tokens to borrow. */
 	readonly wanted: number;
-	/** What is idle and may go back. */
+	/** Idle tokens to hand back. */
 	readonly surplus: number;
 };
 
 /**
-Decides how much a host that does not draw for itself borrows, and what it hands back.
+Decides how much a host that does not draw for itself borrows, and how much it hands back. Pure.
 
-It borrows ahead only where the next request of this size is due soon. Elsewhere small remainders at many hosts
-would add up to a part of the budget that serves nobody.
+The host borrows ahead only if its demand is steady, so that the next request of the same size is due soon. Otherwise small remainders at many
+hosts would add up to a part of the budget that serves no request.
 */
 export const planBorrowing = ({available, rate, tokens}: Inputs): BorrowingPlan => {
-	const isSteady = tokens > 0 && rate * borrowSeconds >= tokens;
-	const ahead = isSteady ? rate * borrowSeconds : 0;
-	const kept = isSteady ? rate * keepSeconds : 0;
+	const isSteady = tokens > 0 && rate * borrowAheadSeconds >= tokens;
+	const ahead = isSteady ? rate * borrowAheadSeconds : 0;
+	const kept = isSteady ? rate * maxKeptSeconds : 0;
 	const idle = Math.floor(available - kept);
 	return {
 		wanted: Math.max(0, Math.ceil(tokens - available + ahead)),
-		surplus: idle > keepTokens ? idle : 0,
+		surplus: idle > minSurplusTokens ? idle : 0,
 	};
 };
--- a/packages/entry/src/lib/lending/rank-allocators.ts
+++ b/packages/entry/src/lib/lending/rank-allocators.ts
@@ -4,22 +4,22 @@
 import {smallHall} from '../peers/small-hall.js';
 
 /**
-Hosts of a larger hall that draw for it: the first does, the second stands by. Each more is one more that
-calls the store and meets the others' writes there.
+The number of hosts that draw rights for a hall that is not small: the first one draws, the second one is its standby. Each further host
+would call the store too and conflict with the writes of the others.
 */
-const allocatorsOfLargeHall = 2;
+const allocatorsPerLargeHall = 2;
 
 /**
-Ranks the hosts of a hall that draw a slot's rights from the store; the others borrow from them, from the first one first.
+Ranks the hosts of a hall that draw a slot's rights from the store (allocators). The other hosts borrow from them, and ask the first one first.
 
-A slot's budgets share their allocators, so that few hosts write to its object. All hosts come to the same choice without
-asking, and a host keeps its place when it restarts.
+All budgets of a slot have the same allocators, so that few hosts write to the slot's object. All hosts that see the same peers compute the same
+ranking without exchanging messages, and a host keeps its rank when it restarts.
 
-@param peers Hosts of the hall in reach, this one among them.
-@param hallSize All hosts listed for the hall: a large hall stays one when some of them are out of reach.
+@param peers The reachable hosts of the hall, this one among them.
+@param hallSize The number of hosts listed for the hall, reachable or not: a large hall still counts as large while some of its hosts are unreachable.
 */
 export const rankAllocators = (slot: number, peers: readonly ListedPeer[], hallSize: number): readonly ListedPeer[] => {
 	const byHost = new Map(peers.map(peer => [hostOfHolder(peer.holder), peer]));
-	const count = hallSize <= smallHall ? byHost.size : allocatorsOfLargeHall;
+	const count = hallSize <= smallHall ? byHost.size : allocatorsPerLargeHall;
 	return rankByRendezvous(`slot-${slot}`, [...byHost.keys()]).slice(0, count).map(host => byHost.get(host)!);
 };
--- a/packages/entry/src/lib/lending/rank-holders.ts
+++ b/packages/entry/src/lib/lending/rank-holders.ts
@@ -1,15 +1,15 @@
 import type {BudgetRights, HolderRights} from '@deckwheel/ledger';
 
-const left = ({granted, transferred, settled}: HolderRights): number => granted + transferred - settled;
+const remainingOf = ({granted, transferred, settled}: HolderRights): number => granted + transferred - settled;
 
 /**
-Decides in which order the holders of a budget are asked for rights: those with most left first, by the store's record of
-them. Pure.
+Decides in which order the holders of a budget are asked for rights: by the store's record, the holders with the most unspent tokens come
+first. Pure.
 
-@param self The asker, which is left out.
+@param self The name of the asking host as a holder of rights, which is left out.
 */
 export const rankHolders = ({holders}: BudgetRights, self: string): readonly string[] =>
 	Object.entries(holders)
 		.filter(([name]) => name !== self)
-		.sort(([, a], [, b]) => left(b) - left(a))
+		.sort(([, a], [, b]) => remainingOf(b) - remainingOf(a))
 		.map(([name]) => name);
--- a/packages/entry/src/test/create-borrower.test.ts
+++ b/packages/entry/src/test/create-borrower.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {createAccounts} from '../lib/rights/create-accounts.js';
 import {createBorrower} from '../lib/lending/create-borrower.js';
-import type {LoanQuestion} from '../lib/lending/loan-question.js';
+import type {BorrowOptions} from '../lib/lending/borrow-options.js';
 
 const budget = 'org';
 const allocator = {holder: 'edge-1#a', address: '10.0.0.1:1', hall: 'h'};
@@ -9,7 +9,7 @@
 /** @param brought The part of what is asked that a question brings. */
 const start = (brought = 1) => {
 	const accounts = createAccounts();
-	const questions: LoanQuestion[] = [];
+	const questions: BorrowOptions[] = [];
 	const answers: Array<() => void> = [];
 	let lent = 0;
 	const borrower = createBorrower({
--- a/packages/entry/src/test/create-loan-client.test.ts
+++ b/packages/entry/src/test/create-loan-client.test.ts
@@ -25,7 +25,7 @@
 		},
 		receivedFrom: () => 0,
 		onSilence: () => undefined,
-		askTimeoutMs: defaultTimeouts.peerMs,
+		replyTimeoutMs: defaultTimeouts.peerMs,
 		log: () => undefined,
 		now: () => 0,
 	});
@@ -45,7 +45,7 @@
 		onSilence(address) {
 			suspected.push(address);
 		},
-		askTimeoutMs: defaultTimeouts.peerMs,
+		replyTimeoutMs: defaultTimeouts.peerMs,
 		log: () => undefined,
 		now: () => 0,
 	});
@@ -67,7 +67,7 @@
 		onLoan: () => undefined,
 		receivedFrom: () => 0,
 		onSilence: () => undefined,
-		askTimeoutMs: defaultTimeouts.peerMs,
+		replyTimeoutMs: defaultTimeouts.peerMs,
 		log(event) {
 			logged.push(event);
 		},
@@ -89,7 +89,7 @@
 		onLoan: () => undefined,
 		receivedFrom: () => 0,
 		onSilence: () => undefined,
-		askTimeoutMs: defaultTimeouts.peerMs,
+		replyTimeoutMs: defaultTimeouts.peerMs,
 		log: () => undefined,
 		now: () => time,
 	});
--- a/packages/entry/src/test/large-hall.test.ts
+++ b/packages/entry/src/test/large-hall.test.ts
@@ -2,7 +2,7 @@
 import {slotOfBudget} from '@deckwheel/ledger';
 import type {ListedPeer} from '../adapter/listed-peer.js';
 import {rankAllocators} from '../lib/lending/rank-allocators.js';
-import {rankOfNeeds} from '../lib/lending/rank-of-needs.js';
+import {mostUrgentRank} from '../lib/lending/most-urgent-rank.js';
 import {slotCount} from '../lib/rights-store/slot-count.js';
 import {createMemoryRightsStore} from './lib/memory-rights-store.js';
 import {startHost} from './lib/start-host.js';
@@ -105,7 +105,7 @@
 	const need = (priority: number | undefined, tokens: number) => ({
 		budget: 'org', tokens, priority, source: 'allocators' as const, peers: [],
 	});
-	t.deepEqual(rankOfNeeds([need(2, 100), need(0, 300), need(1, 200)]), {priority: 0, tokens: 300});
-	t.is(rankOfNeeds([need(2, 100), need(undefined, 300)]), undefined);
-	t.is(rankOfNeeds([]), undefined);
+	t.deepEqual(mostUrgentRank([need(2, 100), need(0, 300), need(1, 200)]), {priority: 0, tokens: 300});
+	t.is(mostUrgentRank([need(2, 100), need(undefined, 300)]), undefined);
+	t.is(mostUrgentRank([]), undefined);
 });
--- a/packages/entry/src/test/lib/play-death-of-all.ts
+++ b/packages/entry/src/test/lib/play-death-of-all.ts
@@ -95,7 +95,7 @@
 					rights.receive(budget, from, total);
 				},
 				onSilence: () => undefined,
-				askTimeoutMs: defaultTimeouts.peerMs,
+				replyTimeoutMs: defaultTimeouts.peerMs,
 				log: () => undefined,
 				now,
 			});
--- a/packages/entry/src/test/lib/start-keepers.ts
+++ b/packages/entry/src/test/lib/start-keepers.ts
@@ -52,7 +52,7 @@
 				suspected.add(address);
 				inReach = peers.filter(entry => !suspected.has(entry.address));
 			},
-			askTimeoutMs: defaultTimeouts.peerMs,
+			replyTimeoutMs: defaultTimeouts.peerMs,
 			log: () => undefined,
 			now,
 		});
