--- a/packages/entry/src/test/create-allocators.test.ts
+++ b/packages/entry/src/test/create-allocators.test.ts
@@ -8,13 +8,13 @@
 	return createAllocators({holder, links: () => ({hallPeers: () => hallPeers, hallSize: () => count}), slotOf: () => 1});
 };
 
-test('in a small hall every host draws ahead for itself, and nobody is anybody\'s client', t => {
+test('in a small hall every host draws ahead for itself, and no host is a client of another', t => {
 	const allocators = viewOf('edge-2#a', 3);
 	t.true(allocators.drawsAhead('b'));
 	t.false(allocators.isClient('edge-1#a', 'b'));
 });
 
-test('in a large hall one host draws ahead, one stands by, and the others are their clients', t => {
+test('in a large hall one host draws ahead, one is its standby, and the other hosts are their clients', t => {
 	const views = hosts(20).map(({holder}) => ({holder, allocators: viewOf(holder, 20)}));
 	const ahead = views.filter(({allocators}) => allocators.drawsAhead('b'));
 	const all = views.filter(({allocators}) => allocators.isAllocator('b'));
--- a/packages/entry/src/test/create-borrower.test.ts
+++ b/packages/entry/src/test/create-borrower.test.ts
@@ -6,21 +6,21 @@
 const budget = 'org';
 const allocator = {holder: 'edge-1#a', address: '10.0.0.1:1', hall: 'h'};
 
-/** @param brought The part of what is asked that a question brings. */
-const start = (brought = 1) => {
+/** @param lentShare The part of the requested tokens that a loan brings, 0 to 1. */
+const start = (lentShare = 1) => {
 	const accounts = createAccounts();
-	const questions: BorrowOptions[] = [];
-	const answers: Array<() => void> = [];
+	const loans: BorrowOptions[] = [];
+	const replies: Array<() => void> = [];
 	let lent = 0;
 	const borrower = createBorrower({
 		accounts,
 		loanClient: {
-			async borrow(question) {
-				questions.push(question);
+			async borrow(options) {
+				loans.push(options);
 				await new Promise<void>(resolve => {
-					answers.push(resolve);
+					replies.push(resolve);
 				});
-				lent += question.tokens * brought;
+				lent += options.tokens * lentShare;
 				accounts.apply(budget, {type: 'received', from: allocator.holder, total: lent});
 				return true;
 			},
@@ -37,43 +37,41 @@
 		return accounts.tryReserve(budget, tokens);
 	};
 
-	return {questions, answers, reserve};
+	return {loans, replies, reserve};
 };
 
-test('one question asks for all requests that wait', async t => {
-	const {questions, answers, reserve} = start();
+test('one loan is requested for all requests that wait', async t => {
+	const {loans, replies, reserve} = start();
 	const first = reserve(100);
 	const others = [200, 300, 400].map(async tokens => reserve(tokens));
-	answers.shift()!();
+	replies.shift()!();
 	t.true(await first);
-	while (answers.length === 0) {
+	while (replies.length === 0) {
 		await Promise.resolve();
 	}
 
-	answers.shift()!();
+	replies.shift()!();
 	t.deepEqual(await Promise.all(others), [true, true, true]);
-	t.deepEqual(questions.map(({tokens}) => tokens), [100, 900]);
+	t.deepEqual(loans.map(({tokens}) => tokens), [100, 900]);
 });
 
 /**
-Users saw: while peers did not answer, requests without rights were refused only after seconds, 17.9 s at worst (1 in 20 after
-3 s), though each may wait for a fifth of a second; and at the end of a budget hosts asked for rights over and over.
+Guards against late refusals: while peers did not reply, requests without rights were refused only after up to 17.9 s (p50 0.17 s, p95 3.0 s,
+p99 8.6 s, by `ms=` of the `rights_unavailable` lines of a run in which links were silent), though each may wait for 0.2 s; and at the end of a
+budget hosts requested loans over and over.
 
-Order of events: requests wait for the question that is under way. It brings nothing; each of them asks a question of its own,
-one after the other, and the last one waits for all of them.
-
-Cause: a question that asked for all that waited counted only for the request that began it. Evidence: `ms=` of the
-`rights_unavailable` lines of a day on which links were silent (p50 0.17, p95 3.0, p99 8.6, most 17.9 s).
+A loan that was requested for all waiting requests counted only for the one that started it. When the loan brought nothing, each of the others
+requested a loan of its own, one after the other, and the last one waited for all of them.
 */
-test('a question that brings nothing counts for all requests that it asked for', async t => {
-	const {questions, answers, reserve} = start(0);
+test('a loan that brings nothing is final for all requests that it was requested for', async t => {
+	const {loans, replies, reserve} = start(0);
 	const first = reserve(100);
 	const others = [200, 300, 400].map(async tokens => reserve(tokens));
-	// Every question is answered as soon as it is asked.
-	const answering = setInterval(() => {
-		answers.shift()?.();
+	// Every loan request gets its reply as soon as it is made.
+	const replying = setInterval(() => {
+		replies.shift()?.();
 	});
 	t.deepEqual(await Promise.all([first, ...others]), [false, false, false, false]);
-	clearInterval(answering);
-	t.is(questions.length, 2);
+	clearInterval(replying);
+	t.is(loans.length, 2);
 });
--- a/packages/entry/src/test/create-loan-client.test.ts
+++ b/packages/entry/src/test/create-loan-client.test.ts
@@ -14,8 +14,8 @@
 
 const peer = (holder: string, address: string): ListedPeer => ({holder, address, hall: 'h'});
 
-test('a host that restarted is asked under both its names, and its loan counts once', async t => {
-	// Both addresses lead to one life of the host.
+test('the loan of a restarted host that is asked under its old and its new name counts once', async t => {
+	// Both addresses lead to one incarnation of the host.
 	const mesh = meshOf(async () => succeed({lender: 'edge-1#new', total: 50, reachesStore: true}));
 	let account = emptyHostAccount;
 	const loanClient = createLoanClient({
@@ -35,32 +35,32 @@
 	t.is(transferred(account), 50);
 });
 
-test('a peer is given up after two silences in a row, or at once when it cannot be reached', async t => {
-	const suspected: string[] = [];
+test('a peer is reported as silent after two missing replies in a row, or at once when it is unreachable', async t => {
+	const reportedSilent: string[] = [];
 	const errors: LinkError[] = ['unknown', 'unknown', 'unreachable'];
 	const loanClient = createLoanClient({
 		mesh: () => meshOf(async () => fail(errors.shift()!)),
 		onLoan: () => undefined,
 		receivedFrom: () => 0,
 		onSilence(address) {
-			suspected.push(address);
+			reportedSilent.push(address);
 		},
 		replyTimeoutMs: defaultTimeouts.peerMs,
 		log: () => undefined,
 		now: () => 0,
 	});
-	const ask = async (): Promise<boolean> => loanClient.borrow({
+	const borrow = async (): Promise<boolean> => loanClient.borrow({
 		budget: 'budget', tokens: 100, demanded: 0, peers: [peer('edge-1#a', '127.0.0.1:1')], isEnough: () => false,
 	});
-	await ask();
-	t.is(suspected.length, 0);
-	await ask();
-	t.is(suspected.length, 1);
-	await ask();
-	t.is(suspected.length, 2);
+	await borrow();
+	t.is(reportedSilent.length, 0);
+	await borrow();
+	t.is(reportedSilent.length, 1);
+	await borrow();
+	t.is(reportedSilent.length, 2);
 });
 
-test('a reply to a hand-back that cannot be read is logged, and tells nothing', async t => {
+test('a malformed reply to rights that were handed back is logged, and the result is unknown', async t => {
 	const logged: string[] = [];
 	const loanClient = createLoanClient({
 		mesh: () => meshOf(async () => succeed({isTaken: 'yes'})),
@@ -77,7 +77,7 @@
 	t.deepEqual(logged, ['peer_reply_malformed']);
 });
 
-test('peers are asked only while the patience lasts', async t => {
+test('peers are asked only until the deadline, which also shortens the timeout of each reply', async t => {
 	let time = 0;
 	const timeouts: number[] = [];
 	const loanClient = createLoanClient({
--- a/packages/entry/src/test/create-slot-writer.test.ts
+++ b/packages/entry/src/test/create-slot-writer.test.ts
@@ -9,7 +9,7 @@
 	const writes: number[] = [];
 	const accounts = createAccounts();
 	const now = (): number => time;
-	const counted = {
+	const countingStore = {
 		...store,
 		async write(...arguments_: Parameters<typeof store.write>) {
 			writes.push(arguments_[2]);
@@ -19,7 +19,7 @@
 	const writer = createSlotWriter({
 		host,
 		holder: `${host}#a`,
-		store: counted,
+		store: countingStore,
 		state: createStoreState(() => undefined, now),
 		accounts,
 		limits: () => ({version: 1, byBudget: new Map([['org', 1000]])}),
@@ -40,23 +40,23 @@
 	};
 };
 
-test('a cheap look before a write spares the conflict with what others wrote since', async t => {
-	const one = start('edge-1');
-	const other = start('edge-2', one.store);
-	t.true(await one.flush());
+test('a peek before a write avoids a conflict with what another host has written since', async t => {
+	const first = start('edge-1');
+	const other = start('edge-2', first.store);
+	t.true(await first.flush());
 	t.true(await other.flush());
-	t.true(await one.flush());
-	t.is(one.writes.length, 2);
-	t.is(one.accounts.get('org').granted, 20);
+	t.true(await first.flush());
+	t.is(first.writes.length, 2);
+	t.is(first.accounts.get('org').granted, 20);
 });
 
-test('a look that shows something older changes nothing', async t => {
-	const one = start('edge-1');
-	t.true(await one.flush());
-	const [old] = [...one.store.objects.values()];
-	t.true(await one.flush());
-	const late = start('edge-1', {...one.store, peek: async () => old});
-	t.true(await late.flush());
-	t.true(await late.flush());
-	t.deepEqual(late.writes, [2, 3]);
+test('a peek that shows an older revision does not replace the newer one', async t => {
+	const first = start('edge-1');
+	t.true(await first.flush());
+	const [old] = [...first.store.objects.values()];
+	t.true(await first.flush());
+	const stale = start('edge-1', {...first.store, peek: async () => old});
+	t.true(await stale.flush());
+	t.true(await stale.flush());
+	t.deepEqual(stale.writes, [2, 3]);
 });
--- a/packages/entry/src/test/hand-back.test.ts
+++ b/packages/entry/src/test/hand-back.test.ts
@@ -1,14 +1,12 @@
 /**
-Users would have seen an organisation served 2,154 tokens beyond the 13,382,920 that it had paid for, on a day with 79 hosts
-that stopped in turn while connections fell silent.
+Guards against overspending a budget by rights that are handed back to the wrong incarnation of a host. An organisation was served 2,154 tokens
+beyond the 13,382,920 that it had paid for, in a run in which 79 hosts shut down in turn while connections fell silent.
 
-Order of events: hosts of a large hall hand idle rights back to their allocator, and tell the total that they ever gave it.
-The allocator stops as planned, gives everything back to the store, and starts again at the same address under a new name.
-Hosts that have not read the list of hosts since tell the new life the total that they gave to the earlier one, and it
-credits itself with all of it: 1,085,336 tokens, of which 36,816 had just been handed back, and 1,250,595 in all.
-
-Cause: the message did not say for which life of a host it is. Evidence: the `rights_handed_back` and `rights_taken_back`
-lines of that budget, paired by hosts.
+Hosts of a large hall hand idle rights back to their allocator by telling it the total that they ever gave to it. The allocator shuts down, gives
+all its rights back to the store, and starts again at the same address under a new name. Hosts that have not read the list of hosts since then
+tell the new incarnation the total that they gave to the earlier one. The message did not say for which incarnation it was meant, so the new one
+credited itself with the whole total: 1,085,336 tokens in one case, of which 36,816 had just been handed back, and 1,250,595 in all (by the
+`rights_handed_back` and `rights_taken_back` lines of that budget, paired by hosts).
 */
 import test from 'ava';
 import {available} from '@deckwheel/ledger';
@@ -17,12 +15,12 @@
 import {createAccounts} from '../lib/rights/create-accounts.js';
 
 const budget = 'org';
-const earlierLife = {holder: 'edge-1#a', address: '10.0.0.1:1', hall: 'h'};
-const asker = {incarnation: 'edge-2#a', hall: 'h'};
+const earlierIncarnation = {holder: 'edge-1#a', address: '10.0.0.1:1', hall: 'h'};
+const sender = {incarnation: 'edge-2#a', hall: 'h'};
 
 const startAnswerer = () => {
-	const taken: number[] = [];
-	const answer = createPeerAnswerer({
+	const takenTotals: number[] = [];
+	const replyTo = createPeerAnswerer({
 		holder: 'edge-1#b',
 		log: () => undefined,
 		lend: async () => ({total: 0, reachesStore: true}),
@@ -33,25 +31,25 @@
 		},
 		answerLimits: () => ({limits: []}),
 		takeBack(_from, _budget, total) {
-			taken.push(total);
+			takenTotals.push(total);
 		},
 	});
-	return {answer, taken};
+	return {replyTo, takenTotals};
 };
 
-test('rights handed back to an earlier life of a host are not credited to the next one', async t => {
-	const {answer, taken} = startAnswerer();
-	t.deepEqual(await answer(asker, {
-		type: 'hand_back', to: earlierLife.holder, budget, total: 1_085_336,
+test('rights handed back to an earlier incarnation of a host are not credited to the next one', async t => {
+	const {replyTo, takenTotals} = startAnswerer();
+	t.deepEqual(await replyTo(sender, {
+		type: 'hand_back', to: earlierIncarnation.holder, budget, total: 1_085_336,
 	}), {isTaken: false});
-	t.deepEqual(taken, []);
-	t.deepEqual(await answer(asker, {
+	t.deepEqual(takenTotals, []);
+	t.deepEqual(await replyTo(sender, {
 		type: 'hand_back', to: 'edge-1#b', budget, total: 500,
 	}), {isTaken: true});
-	t.deepEqual(taken, [500]);
+	t.deepEqual(takenTotals, [500]);
 });
 
-test('what an ended life can no longer take stays with the host that handed it back', async t => {
+test('rights that an ended incarnation of the allocator refuses stay with the host that handed them back', async t => {
 	const accounts = createAccounts();
 	accounts.apply(budget, {type: 'granted', total: 10_000});
 	const borrower = createBorrower({
@@ -60,7 +58,7 @@
 			borrow: async () => true,
 			handBack: async () => 'refused',
 		},
-		allocatorsOf: () => [earlierLife],
+		allocatorsOf: () => [earlierIncarnation],
 		log: () => undefined,
 		now: () => 0,
 	});
--- a/packages/entry/src/test/large-hall.test.ts
+++ b/packages/entry/src/test/large-hall.test.ts
@@ -29,7 +29,7 @@
 	};
 };
 
-test('in a large hall the hosts borrow from one that draws', async t => {
+test('in a large hall the hosts borrow from the first allocator, which draws', async t => {
 	const {keepers, allocators, clients, granted} = startHall(t);
 	for (const {rights} of keepers) {
 		t.is(await rights.reserve('org', 1000, deadline), 'reserved');
@@ -40,7 +40,7 @@
 	t.true(granted() <= limit);
 });
 
-test('when the one that draws is gone, the one that stands by takes over', async t => {
+test('when the first allocator of a hall crashes, its standby takes over', async t => {
 	const {allocators, clients} = startHall(t);
 	t.is(await clients[0]!.rights.reserve('org', 1000, deadline), 'reserved');
 	allocators[0]!.kill();
@@ -49,11 +49,11 @@
 	}
 
 	t.true(allocators[1]!.events.includes('rights_lent'));
-	// The one that now stands by in its place may draw.
+	// The client that becomes the new standby may draw.
 	t.true(clients.filter(({events}) => events.includes('rights_drawn')).length <= 1);
 });
 
-test('when both are gone, hosts draw for themselves, and never beyond the limit', async t => {
+test('when both allocators of a hall crash, its hosts draw for themselves, and never beyond the limit', async t => {
 	const {allocators, clients, granted} = startHall(t);
 	for (const {kill} of allocators) {
 		kill();
@@ -69,7 +69,7 @@
 	t.true(granted() <= limit);
 });
 
-test('one host follows a topic for the hall, and the others hear from it', async t => {
+test('one host of a hall follows a topic of store changes, and the others learn of changes from it', async t => {
 	const peers = new Map<string, ListedPeer>();
 	const hosts = await Promise.all(Array.from({length: hallSize}, async (_, index) => startHost(createMemoryRightsStore(), {host: `edge-${index}`, peers})));
 	t.teardown(async () => {
@@ -79,29 +79,29 @@
 	const followers = hosts.filter(({entry}) => entry.storeChanges.isFollower('config'));
 	t.is(followers.length, 1);
 	const [follower] = followers;
-	const asker = hosts.find(host => host !== follower)!.entry.storeChanges;
-	// A reply may be held for this long, so a slow machine does not make a peer look silent.
+	const otherChanges = hosts.find(host => host !== follower)!.entry.storeChanges;
+	// A peer may hold its reply for this many ms. The time is long, so that the peer does not look silent when the test runs on a slow computer.
 	const holdMs = 5000;
-	t.deepEqual(await asker.waitForChange('config', 5, holdMs, 60_000), {type: 'unknown'});
+	t.deepEqual(await otherChanges.waitForChange('config', 5, holdMs, 60_000), {type: 'unknown'});
 	follower!.entry.storeChanges.publish('config', {at: 9, changedAt: 4});
-	const held = asker.waitForChange('config', 5, holdMs, 60_000);
+	const reply = otherChanges.waitForChange('config', 5, holdMs, 60_000);
 	follower!.entry.storeChanges.publish('config', {at: 12, changedAt: 12});
-	t.deepEqual(await held, {type: 'changed'});
+	t.deepEqual(await reply, {type: 'changed'});
 });
 
-// In a hall whose hosts borrow, each of them sees a few requests of a budget, and only who draws sees how urgent the others are.
-test('near the end of a budget, who draws keeps what is left for more urgent requests of all its hall', async t => {
+// In a hall whose hosts borrow, each host sees only a few requests of a budget. Only the allocator sees how urgent the requests of all hosts are.
+test('near the end of a budget, the allocator keeps what is left for more urgent requests of its whole hall', async t => {
 	const {clients} = startHall(t);
 	const [first, second, third] = clients.map(({rights}) => rights);
 	t.is(await first!.reserve('org', 10_000, deadline, 0), 'reserved');
 	t.is(await third!.reserve('org', 10_000, deadline, 0), 'reserved');
-	t.is(await second!.reserve('org', 12_000, deadline, 1), 'unavailable', 'a large one of a host that saw nothing urgent itself');
-	t.is(await third!.reserve('org', 2000, deadline, 1), 'reserved', 'a small one takes its turn');
+	t.is(await second!.reserve('org', 12_000, deadline, 1), 'unavailable', 'a large, less urgent request at a host that saw no urgent one itself');
+	t.is(await third!.reserve('org', 2000, deadline, 1), 'reserved', 'a small, less urgent request');
 	t.is(await second!.reserve('org', 6000, deadline, 0), 'reserved');
-	t.is(await second!.reserve('org', 12_000, deadline), 'reserved', 'a further run of a request is never refused for others');
+	t.is(await second!.reserve('org', 12_000, deadline), 'reserved', 'a further run of a request, from which no rights are kept for others');
 });
 
-test('a question that is asked for several requests counts as the most urgent of them', t => {
+test('a loan that is requested for several requests is as urgent as the most urgent of them', t => {
 	const need = (priority: number | undefined, tokens: number) => ({
 		budget: 'org', tokens, priority, source: 'allocators' as const, peers: [],
 	});
--- a/packages/entry/src/test/rights-after-a-restore.test.ts
+++ b/packages/entry/src/test/rights-after-a-restore.test.ts
@@ -1,4 +1,7 @@
-/** After the store came back from an older copy, rights that were drawn in between were drawn once more, and the budget was overspent. */
+/**
+Guards against overspending a budget after the store was restored from an older copy: rights that hosts had drawn after the copy was made
+were drawn a second time.
+*/
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import test from 'ava';
 import type {BudgetRights, RightsObject} from '@deckwheel/ledger';
@@ -8,12 +11,12 @@
 const limit = 1000;
 const soonMs = 60_000;
 
-/** Longer than hosts leave each other to write again what they hold, in ms. */
+/** Longer than the pause of draws in which hosts let each other write again what they hold, in ms. */
 const laterMs = 10_000;
 
 type Scope = {teardown: (end: () => void) => void};
 
-/** Three hosts, which all draw for themselves. */
+/** Starts three hosts, which all draw for themselves. */
 const launch = (t: Scope) => {
 	const clock = {ms: 0};
 	const store = createMemoryRightsStore();
@@ -30,7 +33,7 @@
 	};
 };
 
-/** Spends all that hosts get, in small requests; tells how much that was. */
+/** Reserves 10 tokens at a time at each host until the host gets no more. Returns the tokens reserved in all. */
 const spendAll = async ({keepers, reserve}: ReturnType<typeof launch>): Promise<number> => {
 	let spent = 0;
 	for (const index of [...keepers.keys()].toReversed()) {
@@ -42,28 +45,28 @@
 	return spent;
 };
 
-const holdersOf = (store: MemoryRightsStore): BudgetRights['holders'] =>
+const holdersIn = (store: MemoryRightsStore): BudgetRights['holders'] =>
 	[...store.objects.values()].find(({rights}) => rights.budgets.org)?.rights.budgets.org?.holders ?? {};
 
-/** Resolves once holders have written in the store's era. */
-const writtenAgain = async (store: MemoryRightsStore, holders: readonly string[]): Promise<void> => {
-	while (holders.some(holder => holdersOf(store)[holder]?.written?.era !== store.era())) {
+/** Resolves once all the given holders have written in the store's present era. */
+const untilWrittenAgain = async (store: MemoryRightsStore, holders: readonly string[]): Promise<void> => {
+	while (holders.some(holder => holdersIn(store)[holder]?.written?.era !== store.era())) {
 		await nextTurn();
 	}
 };
 
-/** Restores the store, lets hosts notice it, and waits until those that drew have written again. */
+/** Restores the store from a copy, lets the hosts notice the restore, and waits until those that had drawn rights have written again. */
 const restoreFor = async (store: MemoryRightsStore, copy: ReturnType<MemoryRightsStore['copy']>, keepers: ReturnType<typeof startKeepers>): Promise<void> => {
-	const drew = keepers.map(({peer}) => peer.holder).filter(holder => (holdersOf(store)[holder]?.granted ?? 0) > 0);
+	const drew = keepers.map(({peer}) => peer.holder).filter(holder => (holdersIn(store)[holder]?.granted ?? 0) > 0);
 	store.restore(copy);
 	for (const {rights} of keepers) {
 		rights.noteRestored();
 	}
 
-	await writtenAgain(store, drew);
+	await untilWrittenAgain(store, drew);
 };
 
-test('what a host drew and spent before the store was restored is not drawn again by another', async t => {
+test('rights that a host drew and spent before the store was restored are not drawn again by another host', async t => {
 	const world = launch(t);
 	const {clock, store, keepers, reserve} = world;
 	const copy = store.copy();
@@ -74,10 +77,10 @@
 	clock.ms += laterMs;
 	spent += await spendAll(world);
 	t.true(spent <= limit, `${spent} of ${limit} tokens`);
-	t.true(spent > limit * 0.9, `${spent} of ${limit} tokens: what nobody spent is drawn again`);
+	t.true(spent > limit * 0.9, `${spent} of ${limit} tokens: rights that no host spent are drawn again`);
 });
 
-test('a host that notices the restore first leaves the others time to write again what they hold', async t => {
+test('the host that notices a restore first draws nothing until the others had time to write again what they hold', async t => {
 	const {clock, store, keepers, reserve} = launch(t);
 	const copy = store.copy();
 	let spent = await reserve(0, 600);
@@ -85,16 +88,16 @@
 	keepers[1]!.rights.noteRestored();
 	const before = store.copy();
 	spent += await reserve(1, 900);
-	t.deepEqual(store.copy(), before, 'a request that waits for rights costs no write');
+	t.deepEqual(store.copy(), before, 'a request that waits for rights causes no write');
 	clock.ms += 1000;
 	keepers[0]!.rights.noteRestored();
-	await writtenAgain(store, [keepers[0]!.peer.holder]);
+	await untilWrittenAgain(store, [keepers[0]!.peer.holder]);
 	clock.ms += laterMs;
 	spent += await reserve(1, 900);
 	t.is(spent, 600);
 });
 
-test('what a host drew that died is known by those who read it before the store was restored', async t => {
+test('rights drawn by a host that crashed are not drawn again after a restore, if another host had read its entry', async t => {
 	const world = launch(t);
 	const {clock, store, keepers, reserve} = world;
 	const copy = store.copy();
@@ -112,7 +115,7 @@
 	t.true(spent <= limit, `${spent} of ${limit} tokens`);
 });
 
-test('what was given back before the store was restored is not charged', async t => {
+test('rights that were given back before the store was restored are not charged', async t => {
 	const {clock, store, keepers, reserve} = launch(t);
 	await reserve(0, 600);
 	const copy = store.copy();
@@ -123,7 +126,7 @@
 	t.is(await reserve(1, 800), 800);
 });
 
-test('nothing is charged twice, restored again and again', async t => {
+test('no tokens are charged twice when the store is restored five times in a row', async t => {
 	const {clock, store, keepers, reserve} = launch(t);
 	let spent = 0;
 	for (let i = 0; i < 5; i++) {
--- a/packages/entry/src/test/summarise-budget.test.ts
+++ b/packages/entry/src/test/summarise-budget.test.ts
@@ -11,29 +11,29 @@
 const rights: BudgetRights = {
 	organisation: 'org', limit: 1000, topUps: [], holders: {'a#1': entry(300, 100, 50), 'b#1': entry(200, 200, 0)},
 };
-const next = {
+const options = {
 	host: 'a', holder: 'a#2', limits: new Map([['org', 1000]]), version: 1,
 };
 
-test('the sums of a budget add up to its limit, before and after a life has ended', t => {
+test('the amounts in the summary of a budget add up to its limit, before and after an incarnation of a host has ended', t => {
 	t.deepEqual(summariseBudget(rights), {
 		limit: 1000, unallocated: 500, charged: 300, open: 50, held: 150, stranded: 0,
 	});
-	t.deepEqual(summariseBudget(prepareRights({budgets: {org: rights}}, next).budgets.org!), {
+	t.deepEqual(summariseBudget(prepareRights({budgets: {org: rights}}, options).budgets.org!), {
 		limit: 1000, unallocated: 500, charged: 300, open: 0, held: 0, stranded: 200,
 	});
 });
 
-test('what an ended life leaves charged is told once, when it is folded', t => {
+test('the stranded rights of an ended incarnation are reported once, when its entry is folded', t => {
 	const before = {budgets: {org: rights}};
-	const after = prepareRights(before, next);
+	const after = prepareRights(before, options);
 	t.deepEqual(findStrandedRights(before, after), [{
 		budget: 'org', holder: 'a#1', open: 50, held: 150,
 	}]);
-	t.deepEqual(findStrandedRights(after, prepareRights(after, next)), []);
+	t.deepEqual(findStrandedRights(after, prepareRights(after, options)), []);
 });
 
-test('a budget that goes on refusing has one line in two seconds', t => {
+test('a budget on which requests keep being refused is logged once in two seconds', t => {
 	let time = 0;
 	const lines: unknown[] = [];
 	const log = createShortageLog({
--- a/packages/entry/src/test/view-rights.test.ts
+++ b/packages/entry/src/test/view-rights.test.ts
@@ -6,10 +6,10 @@
 	epoch: 0, granted, transferred, rate: 0, settled, billed: 0,
 });
 
-test('what an allocator lent counts as spent, and what it holds does not', t => {
+test('tokens that an allocator lent count as spent, and tokens that it holds do not', t => {
 	const rights: BudgetRights = {
 		organisation: 'b', limit: 1000, topUps: [], holders: {'edge-1#a': entry(400, -150, 50)},
 	};
-	// 600 in the store, and 200 of 400 with the allocator.
+	// 600 tokens are unallocated in the store. The allocator was granted 400, lent 150 and spent 50, so it holds 200.
 	t.is(viewRights(rights, 'edge-2#a', 0).remaining, 800);
 });
