--- a/packages/entry/src/lib/lending/allocators.ts
+++ b/packages/entry/src/lib/lending/allocators.ts
@@ -4,7 +4,7 @@
 export type Allocators = {
 	/** Whether this host draws a budget's rights, for itself or for its hall. */
 	readonly isAllocator: (budget: string) => boolean;
-	/** Whether this host draws a budget's rights ahead of demand, rather than only as the standby of the first allocator. */
+	/** Whether this host draws a budget's rights ahead of demand. The standby of the first allocator of a large hall does not. */
 	readonly drawsAhead: (budget: string) => boolean;
 	/** The other allocators of this hall, in the order in which they are asked for rights. */
 	readonly others: (budget: string) => readonly ListedPeer[];
--- a/packages/entry/src/lib/lending/create-borrower.ts
+++ b/packages/entry/src/lib/lending/create-borrower.ts
@@ -18,7 +18,7 @@
 	readonly now: () => number;
 };
 
-/** A request to peers for a loan that is in flight. */
+/** A loan that is being requested from peers. */
 type PendingLoan = Pick<LoanNeed, 'source'> & {
 	/** Resolves with whether one of the peers replied that it draws rights for this host and reaches the store. */
 	readonly hasReachedStore: Promise<boolean>;
@@ -33,6 +33,7 @@
 */
 export const createBorrower = ({accounts, loanClient, allocatorsOf, log, now}: Options): Borrower => {
 	const pendingLoans = new Map<string, PendingLoan>();
+	/** Tokens that the request needed for which a loan was last requested, by budget. */
 	const lastTokens = new Map<string, number>();
 	/** The needs of all requests that wait for a loan, by budget. */
 	const waitingNeeds = new Map<string, readonly LoanNeed[]>();
--- a/packages/entry/src/lib/lending/create-lender.ts
+++ b/packages/entry/src/lib/lending/create-lender.ts
@@ -46,7 +46,7 @@
 		log('rights_lent', {
 			to, budget, asked: tokens, lent, total, kept: isKept,
 		});
-		// Only a client is told that this host reaches the store. For another allocator nothing was drawn, so that one may still draw for itself.
+		// Only a client is told that this host reaches the store. For a host that draws for itself nothing was drawn here, so it may still draw.
 		return {total, reachesStore: isClient && isStoreUp() && !isRetiring(), isKept};
 	};
 };
--- a/packages/entry/src/lib/lending/loan-client.ts
+++ b/packages/entry/src/lib/lending/loan-client.ts
@@ -4,8 +4,8 @@
 /** The borrowing side of loans between hosts. The lending side is `createLender`. */
 export type LoanClient = {
 	/**
-	Asks peers one after the other for rights, until this host has enough, a peer keeps the rest of the budget for more urgent requests, or the
-	deadline has passed.
+	Asks peers one after the other for rights, until this host has enough, a peer keeps what is left of the budget for more urgent or
+	for later requests, or the deadline has passed.
 
 	@returns Whether one of the peers replied that it draws rights for this host and reaches the store.
 	*/
--- a/packages/entry/src/lib/rights-store/create-slot-cache.ts
+++ b/packages/entry/src/lib/rights-store/create-slot-cache.ts
@@ -10,7 +10,7 @@
 */
 const peekAfterMs = 200;
 
-/** How long a peek may take, in ms. The store usually replies in a few ms; if the store is slower, the write itself finds a conflict. */
+/** How long a peek may take, in ms. The store usually replies in a few ms; if it is slower, the write is made without the peek and may meet a conflict. */
 const peekTimeoutMs = 100;
 
 /** The objects of the slots as this host last read them from the store. */
--- a/packages/entry/src/lib/rights-store/create-slot-writer.ts
+++ b/packages/entry/src/lib/rights-store/create-slot-writer.ts
@@ -19,7 +19,9 @@
 const conflictDelayMs = 10;
 
 type Options = {
+	/** The name of this host. */
 	readonly host: string;
+	/** The name of this incarnation of the host as a holder of rights. */
 	readonly holder: string;
 	readonly store: RightsStore;
 	readonly state: StoreState;
--- a/packages/entry/src/lib/rights-store/plan-slot-write.ts
+++ b/packages/entry/src/lib/rights-store/plan-slot-write.ts
@@ -9,7 +9,9 @@
 const noEpoch = 0;
 
 type Inputs = {
+	/** The name of this host. */
 	readonly host: string;
+	/** The name of this incarnation of the host as a holder of rights. */
 	readonly holder: string;
 	/** The slot's object as last read. */
 	readonly rights: RightsObject;
--- a/packages/entry/src/lib/rights-store/prepare-rights.ts
+++ b/packages/entry/src/lib/rights-store/prepare-rights.ts
@@ -2,12 +2,13 @@
 import {retiredHolder} from './retired-holder.js';
 
 type Inputs = {
+	/** The name of this host. */
 	readonly host: string;
 	/** The name of this incarnation of the host as a holder of rights. */
 	readonly holder: string;
-	/** Prepaid tokens by budget, as the configuration has them. */
+	/** Prepaid tokens by budget, as configured. */
 	readonly limits: ReadonlyMap<string, number>;
-	/** The version of that configuration. */
+	/** The version of the configuration that states the limits. */
 	readonly version: number;
 	/** The era of the store in which the object is written; by default the first. */
 	readonly era?: number;
@@ -22,16 +23,16 @@
 });
 
 // All that an ended incarnation held is charged as spent: how much it had spent after its last write cannot be known.
-const addAsSpent = (a: HolderRights, b: HolderRights): HolderRights => {
-	const granted = a.granted + b.granted;
-	const transferred = a.transferred + b.transferred;
+const addAsSpent = (retired: HolderRights, ended: HolderRights): HolderRights => {
+	const granted = retired.granted + ended.granted;
+	const transferred = retired.transferred + ended.transferred;
 	return {
 		...noRights,
 		granted,
 		transferred,
 		settled: Math.max(0, granted + transferred),
-		billed: a.billed + b.billed,
-		...(a.folded ? {folded: a.folded} : {}),
+		billed: retired.billed + ended.billed,
+		...(retired.folded ? {folded: retired.folded} : {}),
 	};
 };
 
--- a/packages/entry/src/test/create-slot-writer.test.ts
+++ b/packages/entry/src/test/create-slot-writer.test.ts
@@ -36,7 +36,7 @@
 			time += 10_000;
 			return writer.flush(slot);
 		},
-		ageOf: () => writer.rightsAgeMs('org'),
+		rightsAgeMs: () => writer.rightsAgeMs('org'),
 	};
 };
 
