--- a/packages/entry/src/lib/budget-pacing/create-budget-pacer.ts
+++ b/packages/entry/src/lib/budget-pacing/create-budget-pacer.ts
@@ -4,12 +4,12 @@
 import type {Accounts} from '../rights/accounts.js';
 import {demandRate} from '../rights/demand-rate.js';
 import {createUrgencyRecord} from './create-urgency-record.js';
-import {isAfterDeaths} from './is-after-deaths.js';
+import {isAfterCrashes} from './is-after-crashes.js';
 import {isAheadOfPace} from './is-ahead-of-pace.js';
 import {isKeptForUrgent} from './is-kept-for-urgent.js';
 import type {BudgetPacer} from './budget-pacer.js';
 import type {Pace} from './pace.js';
-import {planLasting} from './plan-lasting.js';
+import {planSpreadSeconds} from './plan-spread-seconds.js';
 import {stepPace} from './step-pace.js';
 
 type Options = {
@@ -25,9 +25,9 @@
 };
 
 /** What a host knows of the last part of a budget. Tokens, and tokens a second. */
-type LeftOfBudget = {
+type RemainingBudget = {
 	/** What is neither spent nor set aside for open requests of any host, by the newest record. */
-	readonly left: number;
+	readonly uncommitted: number;
 	/** The demand at this host. */
 	readonly rate: number;
 	/** The demand at all hosts, as far as they have written it. */
@@ -46,22 +46,22 @@
 	const urgency = createUrgencyRecord(now);
 	const paces = new Map<string, Pace>();
 
-	const isTooFast = (budget: string, tokens: number, lasting: number, {left, rate, fleetRate, demandShare, holders}: LeftOfBudget): boolean => {
+	const isAheadOfBudgetPace = (budget: string, tokens: number, spreadSeconds: number, {uncommitted, rate, fleetRate, demandShare, holders}: RemainingBudget): boolean => {
 		const pace = stepPace(paces.get(budget), {
-			left, lasting, share: Math.max(demandShare, 1 / holders), now: now(),
+			uncommitted, spreadSeconds, demandShare: Math.max(demandShare, 1 / holders), now: now(),
 		});
 		paces.set(budget, pace);
 		// Others that began a moment ago have not written their demand yet.
-		const isLasting = left >= Math.max(fleetRate, rate * holders) * lasting;
-		return !isLasting && isAheadOfPace(pace, tokens);
+		const isEnough = uncommitted >= Math.max(fleetRate, rate * holders) * spreadSeconds;
+		return !isEnough && isAheadOfPace(pace, tokens);
 	};
 
-	const viewLeft = (budget: string, rights: BudgetRights): LeftOfBudget => {
+	const viewRemaining = (budget: string, rights: BudgetRights): RemainingBudget => {
 		const account = accounts.get(budget);
 		const rate = demandRate(account);
 		const {fleetTokensPerSecond, demandShare} = viewStore(rights, holder, rate);
 		return {
-			left: remainingTokens(rights, holder, account) - openReservations(rights),
+			uncommitted: remainingTokens(rights, holder, account) - openReservations(rights),
 			rate,
 			fleetRate: fleetTokensPerSecond,
 			demandShare,
@@ -72,20 +72,20 @@
 	return {
 		keptFor(budget, tokens, priority) {
 			const rights = rightsOf(budget);
-			const lasting = planLasting(startedAt, now());
-			const {share: urgentShare, meanTokens: urgentTokens} = urgency.moreUrgent(budget, priority);
+			const spreadSeconds = planSpreadSeconds(startedAt, now());
+			const {share: urgentShare, meanTokens: urgentMeanTokens} = urgency.moreUrgentDemand(budget, priority);
 			// Mostly there is nobody to keep anything for, and the record need not be summed up.
-			if (!rights || (lasting === 0 && urgentShare === 0)) {
+			if (!rights || (spreadSeconds === 0 && urgentShare === 0)) {
 				return undefined;
 			}
 
-			const view = viewLeft(budget, rights);
-			if (lasting > 0 && isAfterDeaths(rights, view.left) && isTooFast(budget, tokens, lasting, view)) {
+			const view = viewRemaining(budget, rights);
+			if (spreadSeconds > 0 && isAfterCrashes(rights, view.uncommitted) && isAheadOfBudgetPace(budget, tokens, spreadSeconds, view)) {
 				return 'later';
 			}
 
 			const isKept = isKeptForUrgent({
-				tokens, left: view.left, fleetRate: view.fleetRate, urgentShare, urgentTokens,
+				tokens, uncommitted: view.uncommitted, fleetRate: view.fleetRate, urgentShare, urgentMeanTokens,
 			});
 			return isKept ? 'urgent' : undefined;
 		},
@@ -93,7 +93,7 @@
 			urgency.note(budget, priority, tokens);
 			const pace = paces.get(budget);
 			if (pace) {
-				paces.set(budget, {...pace, allowed: pace.allowed - tokens});
+				paces.set(budget, {...pace, allowance: pace.allowance - tokens});
 			}
 		},
 	};
--- a/packages/entry/src/lib/budget-pacing/create-urgency-record.ts
+++ b/packages/entry/src/lib/budget-pacing/create-urgency-record.ts
@@ -1,10 +1,10 @@
-import {rateMemorySeconds} from '../rights/rate-memory-seconds.js';
+import {rateTimeConstantSeconds} from '../rights/rate-time-constant-seconds.js';
 
 /** Demand of one rank on one budget: decayed sums of requests and of their tokens, as of `at` (monotonic ms). */
-type RankDemand = {readonly requests: number; readonly tokens: number; readonly at: number};
+type PriorityDemand = {readonly requests: number; readonly tokens: number; readonly updatedAt: number};
 
 /** The demand on one budget by requests that are more urgent than a rank. */
-type UrgentDemand = {
+type MoreUrgentDemand = {
 	/** Its part of all demand on the budget at this host, 0 to 1. */
 	readonly share: number;
 	/** What one of these requests needs, in tokens, in the mean; 0 where there are none. */
@@ -15,7 +15,7 @@
 type UrgencyRecord = {
 	/** Notes a request that got its rights. `priority`: 0 is the most urgent. */
 	readonly note: (budget: string, priority: number, tokens: number) => void;
-	readonly moreUrgent: (budget: string, priority: number) => UrgentDemand;
+	readonly moreUrgentDemand: (budget: string, priority: number) => MoreUrgentDemand;
 };
 
 /** Less than this of a request, decayed, is none. */
@@ -27,27 +27,27 @@
 @param now Monotonic ms.
 */
 export const createUrgencyRecord = (now: () => number): UrgencyRecord => {
-	const budgets = new Map<string, Map<number, RankDemand>>();
+	const budgets = new Map<string, Map<number, PriorityDemand>>();
 
-	const decayed = ({requests, tokens, at}: RankDemand): RankDemand => {
-		const part = Math.exp(-(now() - at) / 1000 / rateMemorySeconds);
-		return {requests: requests * part, tokens: tokens * part, at: now()};
+	const decayed = ({requests, tokens, updatedAt}: PriorityDemand): PriorityDemand => {
+		const decayFactor = Math.exp(-(now() - updatedAt) / 1000 / rateTimeConstantSeconds);
+		return {requests: requests * decayFactor, tokens: tokens * decayFactor, updatedAt: now()};
 	};
 
 	return {
 		note(budget, priority, tokens) {
-			const ranks = budgets.get(budget) ?? new Map<number, RankDemand>();
-			const before = decayed(ranks.get(priority) ?? {requests: 0, tokens: 0, at: now()});
-			ranks.set(priority, {requests: before.requests + 1, tokens: before.tokens + tokens, at: now()});
-			budgets.set(budget, ranks);
+			const byPriority = budgets.get(budget) ?? new Map<number, PriorityDemand>();
+			const before = decayed(byPriority.get(priority) ?? {requests: 0, tokens: 0, updatedAt: now()});
+			byPriority.set(priority, {requests: before.requests + 1, tokens: before.tokens + tokens, updatedAt: now()});
+			budgets.set(budget, byPriority);
 		},
-		moreUrgent(budget, priority) {
+		moreUrgentDemand(budget, priority) {
 			const urgent = {requests: 0, tokens: 0};
 			let total = 0;
-			for (const [rank, demand] of budgets.get(budget) ?? []) {
+			for (const [recordedPriority, demand] of budgets.get(budget) ?? []) {
 				const {requests, tokens} = decayed(demand);
 				total += tokens;
-				if (rank < priority) {
+				if (recordedPriority < priority) {
 					urgent.requests += requests;
 					urgent.tokens += tokens;
 				}
--- a/packages/entry/src/lib/budget-pacing/is-after-deaths.ts
+++ b/packages/entry/src/lib/budget-pacing/is-after-crashes.ts
@@ -3,7 +3,7 @@
 import {retiredHolder} from '../rights-store/retired-holder.js';
 
 /** Lives that ended with less than this part of what is left, 0 to 1, were planned stops, which give back what they hold, or took nothing to speak of. */
-const strandedPart = 0.1;
+const negligibleStrandedPart = 0.1;
 
 /**
 Decides by a budget's record whether most of the hosts that served it have died, and took much of it. Pure.
@@ -11,10 +11,10 @@
 Hosts do not know how old the others are. Most of what was ever charged being charged by lives that have ended tells it: where one host
 of several died, or hosts were stopped in turn as planned, callers of most of the budget have lost nothing.
 
-@param left What is neither spent nor set aside, in tokens.
+@param uncommitted What is neither spent nor set aside, in tokens.
 */
-export const isAfterDeaths = (rights: BudgetRights, left: number): boolean => {
-	const ended = rights.holders[retiredHolder];
+export const isAfterCrashes = (rights: BudgetRights, uncommitted: number): boolean => {
+	const endedHolders = rights.holders[retiredHolder];
 	const {charged, stranded} = sumUpBudget(rights);
-	return ended !== undefined && ended.billed > charged / 2 && stranded > left * strandedPart;
+	return endedHolders !== undefined && endedHolders.billed > charged / 2 && stranded > uncommitted * negligibleStrandedPart;
 };
--- a/packages/entry/src/lib/budget-pacing/is-ahead-of-pace.ts
+++ b/packages/entry/src/lib/budget-pacing/is-ahead-of-pace.ts
@@ -5,4 +5,4 @@
 
 Who has saved up all that can be may go into debt: otherwise a large request would never be served.
 */
-export const isAheadOfPace = ({allowed, most}: Pace, tokens: number): boolean => tokens > allowed && allowed < most;
+export const isAheadOfPace = ({allowance, maxAllowance}: Pace, tokens: number): boolean => tokens > allowance && allowance < maxAllowance;
--- a/packages/entry/src/lib/budget-pacing/is-kept-for-urgent.ts
+++ b/packages/entry/src/lib/budget-pacing/is-kept-for-urgent.ts
@@ -8,13 +8,13 @@
 	/** What the request needs, in tokens. */
 	readonly tokens: number;
 	/** What is neither spent nor set aside for open requests of any host, by the newest record, in tokens. */
-	readonly left: number;
+	readonly uncommitted: number;
 	/** The demand on the budget at all hosts, in tokens a second. */
 	readonly fleetRate: number;
 	/** The part of this host's demand that comes from more urgent requests, 0 to 1. */
 	readonly urgentShare: number;
 	/** What such a request needs, in tokens, in the mean. */
-	readonly urgentTokens: number;
+	readonly urgentMeanTokens: number;
 };
 
 /**
@@ -23,5 +23,5 @@
 Only a request that needs at least as much as one of those is: each one that is turned away then leaves room for at least one that
 the operators rank higher, and small requests go on being served to the end.
 */
-export const isKeptForUrgent = ({tokens, left, fleetRate, urgentShare, urgentTokens}: Inputs): boolean =>
-	urgentShare > 0 && tokens >= urgentTokens && left - tokens < fleetRate * urgentShare * keptSeconds;
+export const isKeptForUrgent = ({tokens, uncommitted, fleetRate, urgentShare, urgentMeanTokens}: Inputs): boolean =>
+	urgentShare > 0 && tokens >= urgentMeanTokens && uncommitted - tokens < fleetRate * urgentShare * keptSeconds;
--- a/packages/entry/src/lib/rights/account-event.ts
+++ b/packages/entry/src/lib/rights/account-event.ts
@@ -1,16 +1,16 @@
-/** What changes a host's rights on a budget. Amounts are tokens. */
+/** A change of a host's account on one budget (`stepAccount`). Amounts are tokens. */
 export type AccountEvent =
 	| {readonly type: 'reserved'; readonly tokens: number}
 	| {readonly type: 'settled'; readonly reserved: number; readonly used: number}
-	/** The store confirmed this total, or rights are on their way back to it. */
+	/** `total` is what the store has granted to this host: confirmed by a write, or lowered before a write that returns rights to the store. */
 	| {readonly type: 'granted'; readonly total: number}
-	/** Rights go to a peer: up to `share` of what is available. */
+	/** Rights are given to the peer `to`: at most `tokens`, and at most the part `share` (0 to 1) of the available ones. */
 	| {readonly type: 'lent'; readonly to: string; readonly tokens: number; readonly share: number}
-	/** The last that was given to a peer did not reach it, and never will. */
+	/** The peer `by` refused the tokens that were given to it last; they stay with this host. */
 	| {readonly type: 'not_taken'; readonly by: string; readonly tokens: number}
-	/** A peer told what it gave in total. */
+	/** The peer `from` stated the total that it ever gave to this host. */
 	| {readonly type: 'received'; readonly from: string; readonly total: number}
-	/** A request of this host asked for tokens, or requests of one that borrows from it did. */
+	/** A request of this host (`own_request`), or of a host that borrows from this one (`client`), demanded tokens. */
 	| {readonly type: 'demanded'; readonly by: 'own_request' | 'client'; readonly tokens: number}
-	/** Time has passed. */
+	/** Time has passed, by which the demand rate decays. */
 	| {readonly type: 'aged'; readonly seconds: number};
--- a/packages/entry/src/lib/rights/budget-limits.ts
+++ b/packages/entry/src/lib/rights/budget-limits.ts
@@ -1,6 +1,6 @@
-/** What organisations prepaid, as one version of the configuration has it. */
+/** What organisations have prepaid, by one version of the configuration. */
 export type BudgetLimits = {
 	readonly version: number;
-	/** Tokens by budget. */
+	/** Prepaid tokens by budget. */
 	readonly byBudget: ReadonlyMap<string, number>;
 };
--- a/packages/entry/src/lib/rights/create-accounts.ts
+++ b/packages/entry/src/lib/rights/create-accounts.ts
@@ -4,7 +4,7 @@
 import type {HostAccount} from './host-account.js';
 import {stepAccount} from './step-account.js';
 
-/** Creates empty accounts. */
+/** Creates the accounts of a host that holds no rights yet. A budget without an event has an empty account. */
 export const createAccounts = (): Accounts => {
 	const accounts = new Map<string, HostAccount>();
 	const get: Accounts['get'] = budget => accounts.get(budget) ?? emptyHostAccount;
--- a/packages/entry/src/lib/rights/create-rights-acquirer.ts
+++ b/packages/entry/src/lib/rights/create-rights-acquirer.ts
@@ -8,26 +8,26 @@
 import type {Accounts} from './accounts.js';
 import {decideRightsSource} from './decide-rights-source.js';
 import {isBudgetExhausted} from './is-budget-exhausted.js';
-import type {RightsBalance} from './rights-balance.js';
+import type {RightsBalancer} from './rights-balancer.js';
 import type {RightsAcquirer} from './rights-acquirer.js';
 import type {RightsSource} from './rights-source.js';
 
 /**
-How long the holders of a budget that had too little are left alone, in ms, so that a shortage brings no burst of
-questions.
+How long a host sends the holders of a budget no loan requests after they had too little to lend, in ms. The pause keeps a
+shortage from causing a burst of messages between hosts.
 */
 const holdersPauseMs = 250;
 
 type Options = {
-	/** The name of this life of the host. */
+	/** The name of this incarnation of the host as a holder of rights. */
 	readonly holder: string;
 	readonly accounts: Accounts;
 	readonly allocators: Allocators;
 	readonly borrower: Borrower;
 	readonly writer: SlotWriter;
 	readonly queue: DrawQueue;
-	readonly balance: Pick<RightsBalance, 'mayDraw'>;
-	/** A peer by its name as a holder. */
+	readonly balancer: Pick<RightsBalancer, 'mayDraw'>;
+	/** Finds a peer by its name as a holder of rights. */
 	readonly peerOf: (holder: string) => ListedPeer | undefined;
 	readonly timeouts: Pick<Timeouts, 'storeMs' | 'gatherMs'>;
 	readonly isRetiring: () => boolean;
@@ -35,26 +35,29 @@
 	readonly now: () => number;
 };
 
-/** Creates the task that goes through the sources of rights, in the order of `decideRightsSource`. */
-export const createRightsAcquirer = ({holder, accounts, allocators, borrower, writer, queue, balance, peerOf, timeouts, isRetiring, now}: Options): RightsAcquirer => {
-	const askHoldersAgainAt = new Map<string, number>();
+/**
+Creates the acquirer of a host's rights. It tries the sources of rights in the order of `decideRightsSource`, and owns from when on
+the holders of each budget may be asked for loans again.
+*/
+export const createRightsAcquirer = ({holder, accounts, allocators, borrower, writer, queue, balancer, peerOf, timeouts, isRetiring, now}: Options): RightsAcquirer => {
+	const nextHoldersAttemptAt = new Map<string, number>();
 
-	const holdersOf = (budget: string): readonly ListedPeer[] => {
+	const holderPeersOf = (budget: string): readonly ListedPeer[] => {
 		const rights = writer.rightsOf(budget);
 		const names = rights ? rankHolders(rights, holder) : [];
 		return names.map(name => peerOf(name)).filter(peer => peer !== undefined);
 	};
 
 	const borrowFromHolders = async (budget: string, tokens: number, deadline: number): Promise<void> => {
-		if (now() < (askHoldersAgainAt.get(budget) ?? 0)) {
+		if (now() < (nextHoldersAttemptAt.get(budget) ?? 0)) {
 			return;
 		}
 
 		await borrower.borrow({
-			budget, tokens, source: 'holders', peers: holdersOf(budget), deadline,
+			budget, tokens, source: 'holders', peers: holderPeersOf(budget), deadline,
 		});
 		if (accounts.available(budget) < tokens) {
-			askHoldersAgainAt.set(budget, now() + holdersPauseMs);
+			nextHoldersAttemptAt.set(budget, now() + holdersPauseMs);
 		}
 	};
 
@@ -68,21 +71,21 @@
 	return {
 		isExhausted,
 		async acquire({budget, tokens, deadline, priority}) {
-			let last: RightsSource | undefined;
+			let lastSource: RightsSource | undefined;
 			let hasReachedStore = false;
 			while (!accounts.tryReserve(budget, tokens)) {
-				last = decideRightsSource({
-					last, isRetiring: isRetiring(), isAllocator: allocators.isAllocator(budget), hasReachedStore, mayDraw: balance.mayDraw(budget),
+				lastSource = decideRightsSource({
+					lastSource, isRetiring: isRetiring(), isAllocator: allocators.isAllocator(budget), hasReachedStore, mayDraw: balancer.mayDraw(budget),
 				});
-				if (last === undefined) {
+				if (lastSource === undefined) {
 					return isExhausted(budget, tokens) ? 'exhausted' : 'unavailable';
 				}
 
-				if (last === 'allocators') {
+				if (lastSource === 'allocators') {
 					hasReachedStore = await borrower.borrow({
-						budget, tokens, priority, source: last, peers: allocators.others(budget), deadline,
+						budget, tokens, priority, source: lastSource, peers: allocators.others(budget), deadline,
 					});
-				} else if (last === 'holders') {
+				} else if (lastSource === 'holders') {
 					await borrowFromHolders(budget, tokens, deadline);
 				} else if (await draw(budget, tokens, Math.min(deadline, now() + timeouts.storeMs))) {
 					return 'reserved';
@@ -96,8 +99,8 @@
 				return;
 			}
 
-			// What a waiting draw reserves is free again at once, for the loan.
-			if (balance.mayDraw(budget) && await draw(budget, tokens, now() + timeouts.storeMs)) {
+			// A draw reserves the tokens that it waited for. They are released at once, so that they are available for the loan.
+			if (balancer.mayDraw(budget) && await draw(budget, tokens, now() + timeouts.storeMs)) {
 				accounts.apply(budget, {type: 'settled', reserved: tokens, used: 0});
 				return;
 			}
--- a/packages/entry/src/lib/rights/create-rights-manager.ts
+++ b/packages/entry/src/lib/rights/create-rights-manager.ts
@@ -22,11 +22,11 @@
 import {planHorizon} from './plan-horizon.js';
 import {planRetryAfter} from './plan-retry-after.js';
 import type {RightsManager} from './rights-manager.js';
-import {startRightsBalance} from './start-rights-balance.js';
+import {startRightsBalancer} from './start-rights-balancer.js';
 
 type Options = {
 	readonly host: string;
-	/** The name of this life of the host. */
+	/** The name of this incarnation of the host as a holder of rights. */
 	readonly holder: string;
 	readonly store: RightsStore;
 	readonly loanClient: LoanClient;
@@ -38,8 +38,9 @@
 };
 
 /**
-Starts the task that owns this host's rights: puts together who gets them for requests (`createRightsAcquirer`), lends them
-(`createLender`), writes them to the store (`createSlotWriter`) and moves them ahead of demand (`startRightsBalance`).
+Creates the rights manager of a host, which owns the host's rights. Its parts acquire rights for requests (`createRightsAcquirer`), lend
+rights to peers (`createLender`), write them to the store (`createSlotWriter`), and draw or return rights by the expected demand
+(`startRightsBalancer`).
 */
 export const createRightsManager = ({host, holder, store, loanClient, links, timeouts, log, now}: Options): RightsManager => {
 	const accounts = createAccounts();
@@ -68,7 +69,8 @@
 		limits: () => limits,
 		isConcerned: budget => accounts.get(budget).granted !== 0 || queue.missing(budget) > 0 || allocators.drawsAhead(budget),
 		wants: budget => (view, rights) => planDrawAmount({
-			account: accounts.get(budget), available: accounts.available(budget), missing: queue.missing(budget), view, rights, holder, holdingPolicy, isPaused: isRetiring || recovery.isDrawPaused(),
+			account: accounts.get(budget), available: accounts.available(budget), missing: queue.missing(budget), view, rights, holder, holdingPolicy,
+			isDrawPaused: isRetiring || recovery.isDrawPaused(),
 		}),
 		onRestored() {
 			recovery.noteRestored();
@@ -81,15 +83,15 @@
 		accounts, writer, log, now,
 	});
 	const queue = createDrawQueue({accounts, writer: () => writer, now});
-	const balance = startRightsBalance({
+	const balancer = startRightsBalancer({
 		holder, accounts, allocators, borrower, writer, state, holdingPolicy, log, now,
 		budgets: () => limits.byBudget.keys(),
-		isSettled: () => links().isPeerListKnown(),
+		isPeerListKnown: () => links().isPeerListKnown(),
 		isRetiring: () => isRetiring,
 		isDrawPaused: recovery.isDrawPaused,
 	});
 	const acquirer = createRightsAcquirer({
-		holder, accounts, allocators, borrower, writer, queue, balance, timeouts, now,
+		holder, accounts, allocators, borrower, writer, queue, balancer, timeouts, now,
 		peerOf: name => links().peerOf(name),
 		isRetiring: () => isRetiring,
 	});
@@ -97,13 +99,13 @@
 		accounts, allocators, acquirer, budgetPacer, isStoreUp: state.isUp, isRetiring: () => isRetiring, log,
 	});
 
-	const credit = (event: string, budget: string, from: string, total: number): void => {
+	const creditReceived = (event: string, budget: string, from: string, total: number): void => {
 		const before = accounts.available(budget);
 		accounts.apply(budget, {type: 'received', from, total});
 		log(event, {from, budget, tokens: accounts.available(budget) - before});
 	};
 
-	const giveAllBack = async (slot: number): Promise<void> => {
+	const returnSlotRights = async (slot: number): Promise<void> => {
 		await writer.untilIdle(slot);
 		for (const budget of accounts.budgets().filter(name => writer.slotOf(name) === slot)) {
 			accounts.apply(budget, {type: 'granted', total: accounts.get(budget).granted - accounts.available(budget)});
@@ -122,15 +124,15 @@
 			const keptFor = priority === undefined ? undefined : budgetPacer.keptFor(budget, tokens, priority);
 			if (keptFor) {
 				const isExhausted = acquirer.isExhausted(budget, tokens);
-				const refused = isExhausted ? 'exhausted' : 'kept';
-				shortageLog.note(budget, isExhausted ? refused : `kept_for_${keptFor}`);
-				return refused;
+				const refusal = isExhausted ? 'exhausted' : 'kept';
+				shortageLog.note(budget, isExhausted ? refusal : `kept_for_${keptFor}`);
+				return refusal;
 			}
 
 			const outcome = await acquirer.acquire({
 				budget, tokens, deadline, priority,
 			});
-			// Refused requests come back; counted each time, they would make the demand look many times larger.
+			// Callers retry refused requests. Counted at each attempt, these would make the demand look many times larger than it is.
 			if (outcome === 'reserved') {
 				accounts.apply(budget, {type: 'demanded', by: 'own_request', tokens});
 				if (priority !== undefined) {
@@ -148,21 +150,21 @@
 		lend,
 		receivedFrom: (budget, from) => accounts.get(budget).received.get(from) ?? 0,
 		receive(budget, from, total) {
-			credit('rights_borrowed', budget, from, total);
+			creditReceived('rights_borrowed', budget, from, total);
 		},
 		takeBack(budget, from, total) {
-			credit('rights_taken_back', budget, from, total);
+			creditReceived('rights_taken_back', budget, from, total);
 		},
 		noteRestored: recovery.noteRestored,
 		retryAfterSeconds: () => planRetryAfter(state.downMs()),
 		async retire() {
 			isRetiring = true;
 			const slots = new Set(accounts.budgets().map(budget => writer.slotOf(budget)));
-			await Promise.all([...slots].map(async slot => giveAllBack(slot)));
+			await Promise.all([...slots].map(async slot => returnSlotRights(slot)));
 		},
 		close() {
 			recovery.close();
-			balance.close();
+			balancer.close();
 		},
 	};
 };
--- a/packages/entry/src/lib/rights/demand-rate.ts
+++ b/packages/entry/src/lib/rights/demand-rate.ts
@@ -1,14 +1,14 @@
 import type {HostAccount} from './host-account.js';
-import {rateMemorySeconds} from './rate-memory-seconds.js';
+import {rateTimeConstantSeconds} from './rate-time-constant-seconds.js';
 
-/** A rate is not taken to have been observed for less than this: one early request is no steady demand. In seconds. */
-const leastSeconds = 2;
+/** The shortest time over which demand is taken to have been observed, in seconds: a single early request is not a steady demand. */
+const minObservedSeconds = 2;
 
 /**
-The demand on a budget at this host, in tokens a second.
+The demand on a budget at this host, in tokens per second.
 
-An average that began at 0 is too low at first; what it still lacks is made up for, so that a host that started
-a moment ago holds enough for a cut.
+The exponential average in the account starts at 0 and is too low at first. This function corrects it for the time observed so far, so
+that a host that has just started holds enough rights to serve while it is cut off from the store.
 */
 export const demandRate = ({rate, observedSeconds}: HostAccount): number =>
-	rate / (1 - Math.exp(-Math.max(leastSeconds, observedSeconds) / rateMemorySeconds));
+	rate / (1 - Math.exp(-Math.max(minObservedSeconds, observedSeconds) / rateTimeConstantSeconds));
--- a/packages/entry/src/lib/rights/host-account.ts
+++ b/packages/entry/src/lib/rights/host-account.ts
@@ -1,18 +1,22 @@
-/** This host's rights on one budget, in tokens. It may spend `granted` and what peers lent it, less what it lent to them. */
+/**
+A host's rights on one budget, in tokens. The host may spend what the store granted and what peers gave it, less what it gave to
+peers.
+*/
 export type HostAccount = {
-	/** What the store records as granted to this life of the host. Falls below 0 where borrowed rights went back to the store. */
+	/** What the store records as granted to this incarnation of the host. Negative after borrowed rights were returned to the store. */
 	readonly granted: number;
-	/** Totals ever received from peers, by holder. Totals, so that a repeated message changes nothing. */
+	/** Totals ever received from peers, by the name of the holder. Totals, so that a repeated message changes nothing. */
 	readonly received: ReadonlyMap<string, number>;
-	/** Totals ever given to peers, by holder. */
+	/** Totals ever given to peers, by the name of the holder. */
 	readonly given: ReadonlyMap<string, number>;
-	/** The worst case of open requests. */
+	/** What open requests may cost in the worst case. */
 	readonly reserved: number;
-	/** What ended requests cost. */
+	/** What ended requests have cost. */
 	readonly settled: number;
-	/** Tokens ever demanded by requests of this host. A total, so that a lender misses nothing that it was not told. */
+	/** Tokens ever demanded by requests of this host. A total, so that a loan request that a lender missed leaves no gap in the demand that the lender knows. */
 	readonly demanded: number;
-	/** Demand averaged over the last seconds, in tokens a second; too low as long as `observedSeconds` is short. */
+	/** Exponential average of the demand, in tokens per second; too low while `observedSeconds` is short (`demandRate` corrects it). */
 	readonly rate: number;
+	/** How long the demand has been observed, in seconds. */
 	readonly observedSeconds: number;
 };
--- a/packages/entry/src/lib/rights/is-budget-exhausted.ts
+++ b/packages/entry/src/lib/rights/is-budget-exhausted.ts
@@ -2,21 +2,23 @@
 import {viewTrustMs} from '../rights-store/view-trust-ms.js';
 
 type Inputs = {
-	/** The store's record of the budget; `undefined` while it was never read. */
+	/** The store's record of the budget; `undefined` if this host has never read it. */
 	readonly rights: BudgetRights | undefined;
 	/** Age of that record, in ms. */
 	readonly ageMs: number;
+	/** The name of this incarnation of the host as a holder of rights. */
 	readonly holder: string;
-	/** What the request needs. */
+	/** What the request needs, in tokens. */
 	readonly tokens: number;
 };
 
 /**
-Decides whether a refusal for want of rights is final (402) or the caller should come back (429). Pure.
+Decides whether a request that lacks rights is refused for good (status 402) or the caller should retry later (429). Pure.
 
-A final refusal needs proof: a record that is fresh, by which what is neither spent nor set aside for open requests, at their
-most, is too little. What hosts hold and may still lend counts as left. Were open requests counted as left, an organisation that
-sends many times its usual would be told to come back again and again: 491 of 639 refusals of a quiet day were of one such.
+A final refusal needs proof: a fresh record of the store by which too few tokens are neither spent nor reserved for the worst case of
+open requests. Tokens that hosts hold and may still lend count as left. If reservations of open requests counted as left too, an
+organisation that sends many times its usual demand would be told to retry over and over: 491 of 639 refusals of a quiet day went to one
+such organisation.
 */
 export const isBudgetExhausted = ({rights, ageMs, holder, tokens}: Inputs): boolean =>
 	rights !== undefined && ageMs < viewTrustMs && viewStore(rights, holder, 0).remaining - openReservations(rights) < tokens;
--- a/packages/entry/src/lib/rights/may-draw.ts
+++ b/packages/entry/src/lib/rights/may-draw.ts
@@ -1,21 +1,27 @@
 import {unallocated, type BudgetRights} from '@deckwheel/ledger';
 
-/** A store that was seen to have nothing left is not asked again for this long, in ms: others give back in the meantime. */
-const emptyTrustMs = 300;
+/**
+How long no draw is made after the store's record showed nothing left of a budget, in ms. After that time other hosts may have returned
+rights to the store.
+*/
+const emptyStoreTrustMs = 300;
 
 type Inputs = {
-	/** The store's record of the budget; `undefined` while it was never read. */
+	/** The store's record of the budget; `undefined` if this host has never read it. */
 	readonly rights: BudgetRights | undefined;
 	/** Age of that record, in ms. */
 	readonly ageMs: number;
-	/** Whether the store may be called now: after failures there is a growing pause. */
+	/** Whether the store may be called now: after failed calls there is a pause that grows with each failure. */
 	readonly mayCall: boolean;
-	/** Whether this host is about to stop. */
+	/** Whether this host is shutting down. It then draws nothing more. */
 	readonly isRetiring: boolean;
 };
 
-/** Decides whether a draw may bring something now, unless the store was seen to have nothing left a moment ago. Pure. */
+/**
+Decides whether a draw from the store may bring tokens now: the store may be called, this host is not shutting down, and no fresh record
+shows that nothing is left. Pure.
+*/
 export const mayDraw = ({rights, ageMs, mayCall, isRetiring}: Inputs): boolean => {
-	const isSeenEmpty = rights !== undefined && ageMs < emptyTrustMs && unallocated(rights) < 1;
-	return mayCall && !isRetiring && !isSeenEmpty;
+	const isStoreEmpty = rights !== undefined && ageMs < emptyStoreTrustMs && unallocated(rights) < 1;
+	return mayCall && !isRetiring && !isStoreEmpty;
 };
--- a/packages/entry/src/lib/rights/plan-draw-amount.ts
+++ b/packages/entry/src/lib/rights/plan-draw-amount.ts
@@ -10,20 +10,25 @@
 	readonly account: HostAccount;
 	/** Tokens that the host may still reserve. */
 	readonly available: number;
-	/** What waiting requests lack, in tokens. */
+	/** What requests that wait for a draw lack beyond `available`, in tokens. */
 	readonly missing: number;
-	/** The store's side of the budget, with this host's own demand. */
+	/** The store's view of the budget, with this host's current demand. */
 	readonly view: StoreView;
+	/** The store's record of the budget. */
 	readonly rights: BudgetRights;
+	/** The name of this incarnation of the host as a holder of rights. */
 	readonly holder: string;
 	readonly holdingPolicy: HoldingPolicy;
-	/** Whether nothing is to be drawn now. */
-	readonly isPaused: boolean;
+	/** Whether this host draws nothing now: while it shuts down, or for a time after the store was restored from an older copy. */
+	readonly isDrawPaused: boolean;
 };
 
-/** Decides how many tokens of a budget a write to the store draws. Pure. May be negative; the ledger keeps it within 0 and the rest. */
-export const planDrawAmount = ({account, available, missing, view, rights, holder, holdingPolicy, isPaused}: Inputs): number => {
-	if (isPaused) {
+/**
+Decides how many tokens of a budget a write to the store draws. Pure. The result may be negative or more than the store has left;
+`planDraw` in `packages/ledger` limits it to what can be drawn.
+*/
+export const planDrawAmount = ({account, available, missing, view, rights, holder, holdingPolicy, isDrawPaused}: Inputs): number => {
+	if (isDrawPaused) {
 		return 0;
 	}
 
--- a/packages/entry/src/lib/rights/plan-rights.ts
+++ b/packages/entry/src/lib/rights/plan-rights.ts
@@ -2,16 +2,16 @@
 import {demandRate} from './demand-rate.js';
 import type {HostAccount} from './host-account.js';
 
-/** A draw is made when less than this part of the target is left, so that the store is not called for trifles. */
-const refillBelow = 0.5;
+/** A host draws when it has less than this part of its target available, so that the store is not called for small amounts. */
+const drawBelowPart = 0.5;
 
-/** Rights are given back when there are this many times the target. */
-const giveBackAbove = 1.4;
+/** A host returns rights to the store when it has more than this many times its target available. */
+const returnAboveFactor = 1.4;
 
-/** Rights this small are not worth a give-back, in tokens. */
-const keepTokens = 2000;
+/** A surplus of this size or less is not returned, in tokens: it is not worth a write to the store. */
+const minReturnTokens = 2000;
 
-/** What a host does about its rights on one budget. */
+/** What a host does about its rights on one budget; `give_back` returns tokens to the store. */
 type RightsPlan =
 	| {readonly type: 'keep'}
 	| {readonly type: 'draw'}
@@ -20,31 +20,31 @@
 type Inputs = {
 	readonly account: HostAccount;
 	readonly store: StoreView;
-	/** Hosts that hold rights on this budget. */
+	/** How many hosts hold rights on this budget. */
 	readonly holders: number;
 	readonly holdingPolicy: HoldingPolicy;
-	/** Whether the limit fell below what was granted: then nobody may keep unspent rights. */
+	/** Whether the limit of the budget fell below what the store has granted of it. Then no host may keep unspent rights. */
 	readonly isOverGranted: boolean;
-	/** Rights that leave this host while the store is out of reach would be of use to nobody. */
+	/** Whether the store is in reach. Rights that are returned while it is out of reach could be used by no host. */
 	readonly isStoreUp: boolean;
 };
 
 /**
-Decides whether a host's rights on a budget should grow or shrink. Pure.
+Decides whether a host draws rights on a budget from the store, returns some to it, or keeps what it has. Pure.
 
-`deckwheeld` decides give-backs by `surplus` in ledger, which says why the two differ.
+`deckwheeld` decides what it returns by `surplus` in `packages/ledger`, whose comment says why the two differ.
 */
 export const planRights = ({account, store, holders, holdingPolicy, isOverGranted, isStoreUp}: Inputs): RightsPlan => {
-	const free = available(account);
+	const availableTokens = available(account);
 	if (isOverGranted) {
-		return free > 0 ? {type: 'give_back', tokens: free} : {type: 'keep'};
+		return availableTokens > 0 ? {type: 'give_back', tokens: availableTokens} : {type: 'keep'};
 	}
 
 	const target = holdingPolicy({...store, tokensPerSecond: demandRate(account), holders});
-	if (free < target * refillBelow && store.unallocated > 0) {
+	if (availableTokens < target * drawBelowPart && store.unallocated > 0) {
 		return {type: 'draw'};
 	}
 
-	const surplus = Math.floor(free - target);
-	return isStoreUp && free > target * giveBackAbove && surplus > keepTokens ? {type: 'give_back', tokens: surplus} : {type: 'keep'};
+	const surplus = Math.floor(availableTokens - target);
+	return isStoreUp && availableTokens > target * returnAboveFactor && surplus > minReturnTokens ? {type: 'give_back', tokens: surplus} : {type: 'keep'};
 };
--- a/packages/entry/src/lib/rights/rights-acquirer.ts
+++ b/packages/entry/src/lib/rights/rights-acquirer.ts
@@ -1,21 +1,21 @@
 import type {ReserveOutcome} from './reserve-outcome.js';
 
-/** What a request needs. */
+/** The rights that a request needs. */
 type RightsNeed = {
 	readonly budget: string;
 	readonly tokens: number;
-	/** Monotonic ms. */
+	/** Until when rights are looked for, in monotonic ms. */
 	readonly deadline: number;
-	/** How urgent it is, 0 the most; `undefined` where nothing is kept from it. */
+	/** How urgent the request is, 0 the most; `undefined` if no rights are kept from it. */
 	readonly priority: number | undefined;
 };
 
-/** Gets rights that this host lacks, from wherever they may come. */
+/** Acquires rights that this host lacks from the sources of `RightsSource`. */
 export type RightsAcquirer = {
-	/** For a request of this host: reserves them, or tells why not. */
+	/** Reserves rights for a request of this host, or returns why it could not. */
 	readonly acquire: (need: RightsNeed) => Promise<ReserveOutcome>;
-	/** For a host that borrows from this one: makes them available. */
+	/** Tries to make `tokens` available in this host's account, for a loan to a host that borrows from this one. */
 	readonly acquireForClient: (budget: string, tokens: number) => Promise<void>;
-	/** Whether a budget is known to be used up for a request of this many tokens. */
+	/** Whether a fresh record of the store shows that too little is left of a budget for a request of this many tokens. */
 	readonly isExhausted: (budget: string, tokens: number) => boolean;
 };
--- a/packages/entry/src/lib/rights/rights-manager.ts
+++ b/packages/entry/src/lib/rights/rights-manager.ts
@@ -3,30 +3,31 @@
 import type {LoanRequest} from '../lending/loan-request.js';
 import type {ReserveOutcome} from './reserve-outcome.js';
 
-/** This host's rights on budgets. */
+/** Owns a host's rights on budgets. Amounts are tokens. */
 export type RightsManager = {
+	/** Takes over the prepaid limits of a version of the configuration. */
 	readonly configure: (config: FleetConfig) => void;
 	/**
-	Sets tokens aside for a request's worst case; where rights are short, looks for some until `deadline` (monotonic ms).
+	Reserves tokens for the worst case of a request. If this host has too few rights, it tries to acquire some until `deadline` (monotonic ms).
 
-	@param priority How urgent it is, 0 the most; `undefined` where nothing is kept from it, as from a further run of a request.
+	@param priority How urgent the request is, 0 the most; `undefined` if no rights are kept from it, as for a further run of a request.
 	*/
 	readonly reserve: (budget: string, tokens: number, deadline: number, priority?: number) => Promise<ReserveOutcome>;
-	/** Ends a reservation: `used` of its tokens are spent, the others are free again. */
+	/** Ends a reservation: `used` of its tokens are spent, and the others are available again. */
 	readonly settle: (budget: string, reserved: number, used: number) => void;
-	/** Gives rights to a peer that asks. */
+	/** Lends rights to the peer `to` that requests them. */
 	readonly lend: (to: string, request: LoanRequest) => Promise<LoanReply>;
-	/** Seconds after which a request that lacked rights should come back. */
+	/** After how many seconds the caller of a request that lacked rights should retry. */
 	readonly retryAfterSeconds: () => number;
-	/** All that a peer is known to have given. */
+	/** The total that the peer `from` is known to have given to this host. */
 	readonly receivedFrom: (budget: string, from: string) => number;
-	/** Takes in what a peer ever gave in total. */
+	/** Credits rights that the peer `from` lends; `total` is all that this peer ever gave to this host. */
 	readonly receive: (budget: string, from: string, total: number) => void;
-	/** Takes back what a peer handed back; `total` is what it ever gave. */
+	/** Credits borrowed rights that the peer `from` returns; `total` is all that this peer ever gave to this host. */
 	readonly takeBack: (budget: string, from: string, total: number) => void;
-	/** The store came back from an older copy: what this host wrote last may be gone from it. */
+	/** Notes that the store was restored from an older copy, which may lack the last writes of this host. */
 	readonly noteRestored: () => void;
-	/** Gives back all that is not reserved or spent, and draws nothing more. */
+	/** Returns all rights that are neither reserved nor spent to the store, and draws nothing from then on. */
 	readonly retire: () => Promise<void>;
 	readonly close: () => void;
 };
--- a/packages/entry/src/lib/rights/start-rights-balance.ts
+++ b/packages/entry/src/lib/rights/start-rights-balancer.ts
@@ -8,20 +8,20 @@
 import {viewRights} from '../rights-store/view-rights.js';
 import {trustedView} from '../rights-store/trusted-view.js';
 import {viewTrustMs} from '../rights-store/view-trust-ms.js';
-import type {RightsBalance} from './rights-balance.js';
+import type {RightsBalancer} from './rights-balancer.js';
 import {mayDraw} from './may-draw.js';
 import {planRights} from './plan-rights.js';
 import {demandRate} from './demand-rate.js';
 import type {Accounts} from './accounts.js';
 
-/** How often rights are looked at, in ms. */
-const tickMs = 500;
+/** How often a host's rights are checked, in ms. */
+const checkIntervalMs = 500;
 
-/** A slot is not written more often than this, in ms, unless a request waits for it: it spares calls to the store. */
-const writeGapMs = 1500;
+/** The least time between two writes of a slot for which no request waits, in ms. It limits the calls to the store. */
+const minWriteIntervalMs = 1500;
 
 type Options = {
-	/** The name of this life of the host. */
+	/** The name of this incarnation of the host as a holder of rights. */
 	readonly holder: string;
 	readonly accounts: Accounts;
 	readonly allocators: Allocators;
@@ -29,12 +29,12 @@
 	readonly writer: SlotWriter;
 	readonly state: StoreState;
 	readonly holdingPolicy: HoldingPolicy;
-	/** Budgets with a limit. */
+	/** The budgets that have a limit in the configuration. */
 	readonly budgets: () => Iterable<string>;
-	/** Whether peers that started together had time to be listed. */
-	readonly isSettled: () => boolean;
+	/** Whether this host knows the list of its peers: hosts that start together need some time to be listed. */
+	readonly isPeerListKnown: () => boolean;
 	readonly isRetiring: () => boolean;
-	/** Whether nothing is to be drawn now. */
+	/** Whether this host draws nothing now, since the store was restored from an older copy a short time ago. */
 	readonly isDrawPaused: () => boolean;
 	readonly log: Log;
 	/** Monotonic ms. */
@@ -42,17 +42,17 @@
 };
 
 /**
-Starts the task that keeps this host's rights near what its demand asks for: looks at each budget at a steady pace, and does
-what `planRights` and `planBorrowing` decide. It owns when each slot was written and looked at last.
+Starts the task that keeps this host's rights near what its demand calls for. At a fixed interval it checks each budget and does what
+`planRights` and `planBorrowing` decide. It owns the times at which it last wrote each slot and last read it again.
 */
-export const startRightsBalance = ({holder, accounts, allocators, borrower, writer, state, holdingPolicy, budgets, isSettled, isRetiring, isDrawPaused, log, now}: Options): RightsBalance => {
+export const startRightsBalancer = ({holder, accounts, allocators, borrower, writer, state, holdingPolicy, budgets, isPeerListKnown, isRetiring, isDrawPaused, log, now}: Options): RightsBalancer => {
 	const writtenAt = new Map<number, number>();
-	const lookedAt = new Map<number, number>();
+	const refreshedAt = new Map<number, number>();
 
 	const planBudget = (budget: string): 'keep' | 'write' => {
 		const rights = writer.rightsOf(budget);
 		const account = accounts.get(budget);
-		// Nothing was read yet. A write reads first; a host that holds rights and has no demand can wait for its next one.
+		// The store's record has not been read yet, and a write reads it first. A host that holds rights but has no demand needs no write for that.
 		if (!rights) {
 			return account.rate > 0 || account.granted === 0 ? 'write' : 'keep';
 		}
@@ -67,7 +67,7 @@
 			store: trustedView(view, writer.ageOf(budget)),
 		});
 		if (plan.type === 'give_back') {
-			// Rights leave this host before the store hears of it.
+			// Rights leave this host's account before the store is told, so that they are never counted twice.
 			accounts.apply(budget, {type: 'granted', total: account.granted - plan.tokens});
 			log('rights_given_back', {budget, tokens: plan.tokens});
 		}
@@ -75,32 +75,32 @@
 		return plan.type === 'keep' ? 'keep' : 'write';
 	};
 
-	// A write that is under way states what was granted before; nothing is given back beside it.
-	const isDue = (budget: string): boolean => {
+	// A write that is under way states the previous total of granted rights, so nothing is returned while it runs.
+	const isWriteDue = (budget: string): boolean => {
 		const slot = writer.slotOf(budget);
-		return !writer.isBusy(slot) && now() - (writtenAt.get(slot) ?? -writeGapMs) >= writeGapMs;
+		return !writer.isBusy(slot) && now() - (writtenAt.get(slot) ?? -minWriteIntervalMs) >= minWriteIntervalMs;
 	};
 
-	// Who stands by, or drew once because no allocator answered, keeps an eye on what it still has of the store.
-	const isConcerned = (budget: string): boolean => allocators.drawsAhead(budget) || accounts.get(budget).granted > accounts.get(budget).settled;
+	// A standby allocator, or a host that drew because no allocator replied, also looks after the unspent rights that it drew.
+	const isStoreHolder = (budget: string): boolean => allocators.drawsAhead(budget) || accounts.get(budget).granted > accounts.get(budget).settled;
 
-	const writeDue = (): void => {
-		const due = [...budgets()].filter(budget => isConcerned(budget) && isDue(budget) && planBudget(budget) === 'write');
+	const writeDueSlots = (): void => {
+		const due = [...budgets()].filter(budget => isStoreHolder(budget) && isWriteDue(budget) && planBudget(budget) === 'write');
 		const slots = [...new Set(due.map(budget => writer.slotOf(budget)))];
-		// While the store is out of reach, one call tells whether it is back.
+		// While the store is out of reach, a single call is enough to learn whether it is back.
 		for (const slot of state.isUp() ? slots : slots.slice(0, 1)) {
 			writtenAt.set(slot, now());
 			void writer.flush(slot);
 		}
 	};
 
-	// Who holds rights that it does not use learns only so that a budget has shrunk, and gives back what is too much.
-	const lookAtHeld = (): void => {
-		const held = accounts.budgets().filter(budget => isConcerned(budget) && accounts.available(budget) > 0 && writer.ageOf(budget) >= viewTrustMs);
+	// A host that holds rights without using them makes no writes. It reads the record again to learn that a budget has shrunk, and then returns what is too much.
+	const refreshHeldSlots = (): void => {
+		const held = accounts.budgets().filter(budget => isStoreHolder(budget) && accounts.available(budget) > 0 && writer.ageOf(budget) >= viewTrustMs);
 		const slots = new Set(held.map(budget => writer.slotOf(budget)));
 		for (const slot of slots) {
-			if (!writer.isBusy(slot) && now() - (lookedAt.get(slot) ?? -viewTrustMs) >= viewTrustMs) {
-				lookedAt.set(slot, now());
+			if (!writer.isBusy(slot) && now() - (refreshedAt.get(slot) ?? -viewTrustMs) >= viewTrustMs) {
+				refreshedAt.set(slot, now());
 				void writer.refresh(slot);
 			}
 		}
@@ -108,10 +108,10 @@
 
 	const tick = (): void => {
 		for (const budget of accounts.budgets()) {
-			accounts.apply(budget, {type: 'aged', seconds: tickMs / 1000});
+			accounts.apply(budget, {type: 'aged', seconds: checkIntervalMs / 1000});
 		}
 
-		if (isRetiring() || !isSettled()) {
+		if (isRetiring() || !isPeerListKnown()) {
 			return;
 		}
 
@@ -120,18 +120,18 @@
 		}
 
 		if (state.isUp()) {
-			lookAtHeld();
+			refreshHeldSlots();
 		}
 
 		if (state.mayCall()) {
-			writeDue();
+			writeDueSlots();
 		}
 	};
 
-	// Hosts that started together must not write at the same moments.
+	// The first delay is random, so that hosts that started together do not write at the same moments.
 	let timer = setTimeout(() => {
-		timer = setInterval(tick, tickMs);
-	}, Math.random() * tickMs);
+		timer = setInterval(tick, checkIntervalMs);
+	}, Math.random() * checkIntervalMs);
 	return {
 		mayDraw: budget => !isDrawPaused() && mayDraw({
 			rights: writer.rightsOf(budget), ageMs: writer.ageOf(budget), mayCall: state.mayCall(), isRetiring: isRetiring(),
--- a/packages/entry/src/lib/rights/step-account.ts
+++ b/packages/entry/src/lib/rights/step-account.ts
@@ -1,29 +1,29 @@
 import {available} from '@deckwheel/ledger';
 import type {AccountEvent} from './account-event.js';
 import type {HostAccount} from './host-account.js';
-import {rateMemorySeconds} from './rate-memory-seconds.js';
+import {rateTimeConstantSeconds} from './rate-time-constant-seconds.js';
 
-/** A demand below this, in tokens a second, counts as none. */
+/** A demand rate below this counts as 0, in tokens per second. */
 const negligibleRate = 1;
 
-const give = (account: HostAccount, {to, tokens, share}: AccountEvent & {type: 'lent'}): HostAccount => {
+const applyLent = (account: HostAccount, {to, tokens, share}: AccountEvent & {type: 'lent'}): HostAccount => {
 	const lent = Math.max(0, Math.min(Math.ceil(tokens), Math.floor(available(account) * share)));
 	return lent === 0 ? account : {...account, given: new Map(account.given).set(to, (account.given.get(to) ?? 0) + lent)};
 };
 
-const demand = (account: HostAccount, {by, tokens}: AccountEvent & {type: 'demanded'}): HostAccount => ({
+const applyDemanded = (account: HostAccount, {by, tokens}: AccountEvent & {type: 'demanded'}): HostAccount => ({
 	...account,
 	demanded: account.demanded + (by === 'own_request' ? tokens : 0),
-	rate: account.rate + (tokens / rateMemorySeconds),
+	rate: account.rate + (tokens / rateTimeConstantSeconds),
 });
 
-const age = (account: HostAccount, seconds: number): HostAccount => ({
+const applyAged = (account: HostAccount, seconds: number): HostAccount => ({
 	...account,
-	rate: account.rate < negligibleRate ? 0 : account.rate * Math.exp(-seconds / rateMemorySeconds),
+	rate: account.rate < negligibleRate ? 0 : account.rate * Math.exp(-seconds / rateTimeConstantSeconds),
 	observedSeconds: account.observedSeconds + seconds,
 });
 
-/** Moves an account on by one event. Pure; rights leave one account before they can enter another. */
+/** Applies one event to an account. Pure. Rights leave the giver's account (`lent`) before they can enter the receiver's (`received`). */
 export const stepAccount = (account: HostAccount, event: AccountEvent): HostAccount => {
 	switch (event.type) {
 		case 'reserved': {
@@ -39,7 +39,7 @@
 		}
 
 		case 'lent': {
-			return give(account, event);
+			return applyLent(account, event);
 		}
 
 		case 'not_taken': {
@@ -52,11 +52,11 @@
 		}
 
 		case 'demanded': {
-			return demand(account, event);
+			return applyDemanded(account, event);
 		}
 
 		case 'aged': {
-			return age(account, event.seconds);
+			return applyAged(account, event.seconds);
 		}
 	}
 };
--- a/packages/entry/src/test/decide-rights-source.test.ts
+++ b/packages/entry/src/test/decide-rights-source.test.ts
@@ -3,14 +3,14 @@
 import type {RightsSource} from '../lib/rights/rights-source.js';
 
 const open = {
-	last: undefined, isRetiring: false, isAllocator: false, hasReachedStore: false, mayDraw: true,
+	lastSource: undefined, isRetiring: false, isAllocator: false, hasReachedStore: false, mayDraw: true,
 };
 
 /** The sources that a request goes through when none has enough. */
 const path = (change: Partial<typeof open>): readonly RightsSource[] => {
 	const tried: RightsSource[] = [];
 	for (;;) {
-		const source = decideRightsSource({...open, ...change, last: tried.at(-1)});
+		const source = decideRightsSource({...open, ...change, lastSource: tried.at(-1)});
 		if (source === undefined) {
 			return tried;
 		}
--- a/packages/entry/src/test/is-kept-for-urgent.test.ts
+++ b/packages/entry/src/test/is-kept-for-urgent.test.ts
@@ -12,12 +12,12 @@
 
 const fleetRate = 1000;
 const inputs = {
-	tokens: 500, left: 2000, fleetRate, urgentShare: 0.3, urgentTokens: 400,
+	tokens: 500, uncommitted: 2000, fleetRate, urgentShare: 0.3, urgentMeanTokens: 400,
 };
 
 test('near the end of a budget, a large request is turned away for more urgent ones', t => {
 	t.true(isKeptForUrgent(inputs));
-	t.false(isKeptForUrgent({...inputs, left: 100_000}));
+	t.false(isKeptForUrgent({...inputs, uncommitted: 100_000}));
 });
 
 test('a request smaller than the more urgent ones takes its turn: turning it away would make room for none', t => {
@@ -25,7 +25,7 @@
 });
 
 test('nothing is kept where nobody more urgent asks', t => {
-	t.false(isKeptForUrgent({...inputs, urgentShare: 0, urgentTokens: 0}));
+	t.false(isKeptForUrgent({...inputs, urgentShare: 0, urgentMeanTokens: 0}));
 });
 
 test('what counts as more urgent follows the demand of the last seconds', t => {
@@ -34,10 +34,10 @@
 	record.note('b', 0, 900);
 	record.note('b', 1, 1800);
 	record.note('b', 2, 300);
-	t.deepEqual(record.moreUrgent('b', 0), {share: 0, meanTokens: 0});
-	t.deepEqual(record.moreUrgent('b', 1), {share: 0.3, meanTokens: 900});
-	t.deepEqual(record.moreUrgent('b', 2), {share: 0.9, meanTokens: 1350});
-	t.deepEqual(record.moreUrgent('other', 2), {share: 0, meanTokens: 0});
+	t.deepEqual(record.moreUrgentDemand('b', 0), {share: 0, meanTokens: 0});
+	t.deepEqual(record.moreUrgentDemand('b', 1), {share: 0.3, meanTokens: 900});
+	t.deepEqual(record.moreUrgentDemand('b', 2), {share: 0.9, meanTokens: 1350});
+	t.deepEqual(record.moreUrgentDemand('other', 2), {share: 0, meanTokens: 0});
 	time = 60_000;
-	t.deepEqual(record.moreUrgent('b', 1), {share: 0, meanTokens: 0}, 'a minute later nobody asked lately');
+	t.deepEqual(record.moreUrgentDemand('b', 1), {share: 0, meanTokens: 0}, 'a minute later nobody asked lately');
 });
--- a/packages/entry/src/test/plan-draw-amount.test.ts
+++ b/packages/entry/src/test/plan-draw-amount.test.ts
@@ -24,7 +24,7 @@
 		holder,
 		// Half of what remains.
 		holdingPolicy: ({remaining}) => remaining / 2,
-		isPaused: false,
+		isDrawPaused: false,
 	});
 	t.is(wanted(600), 200);
 	t.is(wanted(0), 200);
--- a/packages/entry/src/test/rights-after-deaths.test.ts
+++ b/packages/entry/src/test/rights-after-deaths.test.ts
@@ -25,7 +25,7 @@
 		accountOf: () => account,
 		isConcerned: () => true,
 		wants: () => (view, own) => planDrawAmount({
-			account, available: account.granted - account.settled, missing: 0, view, rights: own, holder, holdingPolicy, isPaused: isRetiring,
+			account, available: account.granted - account.settled, missing: 0, view, rights: own, holder, holdingPolicy, isDrawPaused: isRetiring,
 		}),
 	});
 	if (plan.type !== 'write') {
--- a/packages/entry/src/test/step-pace.test.ts
+++ b/packages/entry/src/test/step-pace.test.ts
@@ -2,27 +2,27 @@
 import fc from 'fast-check';
 import {isAheadOfPace} from '../lib/budget-pacing/is-ahead-of-pace.js';
 import type {Pace} from '../lib/budget-pacing/pace.js';
-import {planLasting} from '../lib/budget-pacing/plan-lasting.js';
+import {planSpreadSeconds} from '../lib/budget-pacing/plan-spread-seconds.js';
 import {stepPace} from '../lib/budget-pacing/step-pace.js';
 
 test('what is left has to last for less and less of the time after a restart, and then no more', t => {
-	t.deepEqual([0, 5000, 20_000, 60_000].map(age => planLasting(1000, 1000 + age)), [20, 15, 0, 0]);
+	t.deepEqual([0, 5000, 20_000, 60_000].map(age => planSpreadSeconds(1000, 1000 + age)), [20, 15, 0, 0]);
 });
 
 test('a request that is large beside the pace waits until all that can be saved up is there, and is served then', t => {
-	const inputs = {left: 20_000, lasting: 20, share: 0.5};
+	const inputs = {uncommitted: 20_000, spreadSeconds: 20, demandShare: 0.5};
 	const first = stepPace(undefined, {...inputs, now: 0});
 	t.false(isAheadOfPace(first, 700));
 	t.true(isAheadOfPace(first, 9000));
 	const saved = stepPace(first, {...inputs, now: 3000});
 	t.false(isAheadOfPace(saved, 9000));
-	const indebted = {...saved, allowed: saved.allowed - 9000};
+	const indebted = {...saved, allowance: saved.allowance - 9000};
 	t.true(isAheadOfPace(stepPace(indebted, {...inputs, now: 6000}), 700), 'it has gone ahead of the pace');
 });
 
 test('a budget with nothing left is not for the pace to refuse: it is used up', t => {
 	t.false(isAheadOfPace(stepPace(undefined, {
-		left: -500, lasting: 20, share: 1, now: 0,
+		uncommitted: -500, spreadSeconds: 20, demandShare: 1, now: 0,
 	}), 100));
 });
 
@@ -37,16 +37,16 @@
 		let pace: Pace | undefined;
 		for (const {afterMs, tokens} of requests) {
 			now += afterMs;
-			const lasting = planLasting(0, now);
-			if (lasting <= 1) {
+			const spreadSeconds = planSpreadSeconds(0, now);
+			if (spreadSeconds <= 1) {
 				return;
 			}
 
 			pace = stepPace(pace, {
-				left, lasting, share: 1, now,
+				uncommitted: left, spreadSeconds, demandShare: 1, now,
 			});
 			if (!isAheadOfPace(pace, tokens) && tokens <= left) {
-				pace = {...pace, allowed: pace.allowed - tokens};
+				pace = {...pace, allowance: pace.allowance - tokens};
 				left -= tokens;
 				const spent = prepaid - left;
 				const saved = prepaid * 2 * 3 / 20;
