--- a/packages/entry/src/lib/budget-pacing/create-budget-pacer.ts
+++ b/packages/entry/src/lib/budget-pacing/create-budget-pacer.ts
@@ -13,34 +13,34 @@
 import {stepPace} from './step-pace.js';
 
 type Options = {
-	/** The name of this life of the host. */
+	/** The name of this incarnation of the host as a holder of rights. */
 	readonly holder: string;
 	readonly accounts: Accounts;
-	/** The store's side of a budget as last seen; `undefined` at hosts that only borrow. */
+	/** The store's record of a budget as this host last read it; `undefined` at hosts that only borrow rights. */
 	readonly rightsOf: (budget: string) => BudgetRights | undefined;
-	/** When this life of the host began, in monotonic ms. */
+	/** When this incarnation of the host started, in monotonic ms. */
 	readonly startedAt: number;
 	/** Monotonic ms. */
 	readonly now: () => number;
 };
 
-/** What a host knows of the last part of a budget. Tokens, and tokens a second. */
+/** What a host knows of the rest of a budget. Amounts are tokens, rates are tokens per second. */
 type RemainingBudget = {
-	/** What is neither spent nor set aside for open requests of any host, by the newest record. */
+	/** Tokens that are neither spent nor reserved for open requests of any host, by the newest record of the store. */
 	readonly uncommitted: number;
 	/** The demand at this host. */
 	readonly rate: number;
-	/** The demand at all hosts, as far as they have written it. */
+	/** The demand at all hosts, as far as they have written it to the store. */
 	readonly fleetRate: number;
-	/** This host's part of that, 0 to 1. */
+	/** This host's part of `fleetRate`, 0 to 1. */
 	readonly demandShare: number;
-	/** Hosts that hold rights. */
+	/** How many hosts hold rights on the budget. */
 	readonly holders: number;
 };
 
 /**
-Creates the task that keeps the last part of budgets for more urgent and for later requests. It owns the record of how urgent the
-demand is, and how far this host is ahead of the pace on each budget.
+Creates the budget pacer of a host, which keeps what is left of nearly used-up budgets for more urgent and for later requests. It owns the
+record of how urgent the demand is (`createUrgencyRecord`) and this host's pace on each budget (`stepPace`).
 */
 export const createBudgetPacer = ({holder, accounts, rightsOf, startedAt, now}: Options): BudgetPacer => {
 	const urgency = createUrgencyRecord(now);
@@ -51,7 +51,7 @@
 			uncommitted, spreadSeconds, demandShare: Math.max(demandShare, 1 / holders), now: now(),
 		});
 		paces.set(budget, pace);
-		// Others that began a moment ago have not written their demand yet.
+		// Other hosts that have just started have not written their demand yet, so this host's demand is taken as theirs.
 		const isEnough = uncommitted >= Math.max(fleetRate, rate * holders) * spreadSeconds;
 		return !isEnough && isAheadOfPace(pace, tokens);
 	};
@@ -74,7 +74,7 @@
 			const rights = rightsOf(budget);
 			const spreadSeconds = planSpreadSeconds(startedAt, now());
 			const {share: urgentShare, meanTokens: urgentMeanTokens} = urgency.moreUrgentDemand(budget, priority);
-			// Mostly there is nobody to keep anything for, and the record need not be summed up.
+			// In most cases there are no requests to keep tokens for. The record then need not be summed up.
 			if (!rights || (spreadSeconds === 0 && urgentShare === 0)) {
 				return undefined;
 			}
--- a/packages/entry/src/lib/budget-pacing/create-urgency-record.ts
+++ b/packages/entry/src/lib/budget-pacing/create-urgency-record.ts
@@ -1,28 +1,29 @@
 import {rateTimeConstantSeconds} from '../rights/rate-time-constant-seconds.js';
 
-/** Demand of one rank on one budget: decayed sums of requests and of their tokens, as of `at` (monotonic ms). */
+/** The demand of one priority on one budget: sums of requests and of their tokens, decayed up to `updatedAt` (monotonic ms). */
 type PriorityDemand = {readonly requests: number; readonly tokens: number; readonly updatedAt: number};
 
-/** The demand on one budget by requests that are more urgent than a rank. */
+/** The demand on one budget by requests that are more urgent than a given priority. */
 type MoreUrgentDemand = {
-	/** Its part of all demand on the budget at this host, 0 to 1. */
+	/** Its part of the whole demand on the budget at this host, by tokens, 0 to 1. */
 	readonly share: number;
-	/** What one of these requests needs, in tokens, in the mean; 0 where there are none. */
+	/** The mean tokens of such a request; 0 if there are none. */
 	readonly meanTokens: number;
 };
 
-/** What this host's requests asked of each budget lately, by how urgent they were. */
+/** The recent demand of a host's requests on each budget, by their priority. */
 type UrgencyRecord = {
-	/** Notes a request that got its rights. `priority`: 0 is the most urgent. */
+	/** Records a request that got its rights. `priority` 0 is the most urgent. */
 	readonly note: (budget: string, priority: number, tokens: number) => void;
+	/** Sums up the demand of requests that are more urgent than `priority`. */
 	readonly moreUrgentDemand: (budget: string, priority: number) => MoreUrgentDemand;
 };
 
-/** Less than this of a request, decayed, is none. */
+/** A decayed number of requests below this counts as no request. */
 const negligibleRequests = 0.05;
 
 /**
-Creates a record of no demand.
+Creates an empty record of demand. It decays with the time constant `rateTimeConstantSeconds`.
 
 @param now Monotonic ms.
 */
--- a/packages/entry/src/lib/budget-pacing/is-after-crashes.ts
+++ b/packages/entry/src/lib/budget-pacing/is-after-crashes.ts
@@ -2,16 +2,20 @@
 import {sumUpBudget} from '../rights-store/sum-up-budget.js';
 import {retiredHolder} from '../rights-store/retired-holder.js';
 
-/** Lives that ended with less than this part of what is left, 0 to 1, were planned stops, which give back what they hold, or took nothing to speak of. */
+/**
+Ended incarnations that left stranded at most this part of what is left of a budget, 0 to 1, are taken for planned shutdowns, which return
+what the host holds, or for crashes that took a negligible amount.
+*/
 const negligibleStrandedPart = 0.1;
 
 /**
-Decides by a budget's record whether most of the hosts that served it have died, and took much of it. Pure.
+Decides by the store's record of a budget whether most of the hosts that served it have crashed and stranded much of it. Pure.
 
-Hosts do not know how old the others are. Most of what was ever charged being charged by lives that have ended tells it: where one host
-of several died, or hosts were stopped in turn as planned, callers of most of the budget have lost nothing.
+A host does not know when the others started. So the decision is taken from the charges: ended incarnations must have charged more than
+half of all that was ever charged. If one host of several has crashed, or hosts were shut down in turn as planned, the callers of most of
+the budget have lost nothing.
 
-@param uncommitted What is neither spent nor set aside, in tokens.
+@param uncommitted Tokens that are neither spent nor reserved for open requests.
 */
 export const isAfterCrashes = (rights: BudgetRights, uncommitted: number): boolean => {
 	const endedHolders = rights.holders[retiredHolder];
--- a/packages/entry/src/lib/budget-pacing/is-ahead-of-pace.ts
+++ b/packages/entry/src/lib/budget-pacing/is-ahead-of-pace.ts
@@ -1,8 +1,10 @@
 import type {Pace} from './pace.js';
 
 /**
-Decides whether a request is turned away since its budget would be spent too fast. Pure.
+Decides whether a request is refused because its budget would be spent too fast. Pure.
 
-Who has saved up all that can be may go into debt: otherwise a large request would never be served.
+A host that has saved up its whole allowance may overdraw it: otherwise a request larger than the allowance would never be served.
+
+@param tokens What the request needs, in tokens.
 */
 export const isAheadOfPace = ({allowance, maxAllowance}: Pace, tokens: number): boolean => tokens > allowance && allowance < maxAllowance;
--- a/packages/entry/src/lib/budget-pacing/is-kept-for-urgent.ts
+++ b/packages/entry/src/lib/budget-pacing/is-kept-for-urgent.ts
@@ -1,27 +1,27 @@
 /**
-The last part of a budget is kept for its more urgent requests for this long, in seconds of their demand: with it they are still
-served after an outage of the store and the death of all hosts that follows, until somebody tops the budget up.
+How much of a nearly used-up budget is kept for its more urgent requests, in seconds of their demand. With it they are still served after
+an outage of the store and a crash of all hosts that follows, until an operator tops the budget up.
 */
 const keptSeconds = 15;
 
 type Inputs = {
 	/** What the request needs, in tokens. */
 	readonly tokens: number;
-	/** What is neither spent nor set aside for open requests of any host, by the newest record, in tokens. */
+	/** Tokens that are neither spent nor reserved for open requests of any host, by the newest record of the store. */
 	readonly uncommitted: number;
-	/** The demand on the budget at all hosts, in tokens a second. */
+	/** The demand on the budget at all hosts, in tokens per second. */
 	readonly fleetRate: number;
 	/** The part of this host's demand that comes from more urgent requests, 0 to 1. */
 	readonly urgentShare: number;
-	/** What such a request needs, in tokens, in the mean. */
+	/** The mean tokens of such a more urgent request. */
 	readonly urgentMeanTokens: number;
 };
 
 /**
-Decides whether a request is turned away since what is left of its budget is kept for more urgent ones. Pure.
+Decides whether a request is refused because what is left of its budget is kept for more urgent requests. Pure.
 
-Only a request that needs at least as much as one of those is: each one that is turned away then leaves room for at least one that
-the operators rank higher, and small requests go on being served to the end.
+Only a request that needs at least as many tokens as the mean of the more urgent ones is refused. Each refused request then leaves enough
+tokens for at least one request that operators give a higher priority, and small requests are served until the budget is used up.
 */
 export const isKeptForUrgent = ({tokens, uncommitted, fleetRate, urgentShare, urgentMeanTokens}: Inputs): boolean =>
 	urgentShare > 0 && tokens >= urgentMeanTokens && uncommitted - tokens < fleetRate * urgentShare * keptSeconds;
--- a/packages/entry/src/lib/budget-pacing/pace.ts
+++ b/packages/entry/src/lib/budget-pacing/pace.ts
@@ -1,9 +1,9 @@
-/** How far a host may go ahead of the pace at which a budget is spent. */
+/** How many tokens of a budget a host may reserve now, so that the budget is spread over some time: the state of a token bucket. */
 export type Pace = {
-	/** What it may reserve now, in tokens. Negative after a request larger than what can be saved up. */
+	/** What the host may reserve now, in tokens. Negative after a request that was larger than the allowance. */
 	readonly allowance: number;
-	/** The most that can be saved up, in tokens. */
+	/** The most that the allowance can grow to, in tokens. */
 	readonly maxAllowance: number;
-	/** Monotonic ms. */
+	/** The time for which `allowance` was worked out, in monotonic ms. */
 	readonly updatedAt: number;
 };
