--- a/packages/entry/src/test/decide-rights-source.test.ts
+++ b/packages/entry/src/test/decide-rights-source.test.ts
@@ -2,15 +2,15 @@
 import {decideRightsSource} from '../lib/rights/decide-rights-source.js';
 import type {RightsSource} from '../lib/rights/rights-source.js';
 
-const open = {
+const inputs = {
 	lastSource: undefined, isRetiring: false, isAllocator: false, hasReachedStore: false, mayDraw: true,
 };
 
-/** The sources that a request goes through when none has enough. */
-const path = (change: Partial<typeof open>): readonly RightsSource[] => {
+/** The sources that are tried for a request when none of them has enough. */
+const triedSources = (change: Partial<typeof inputs>): readonly RightsSource[] => {
 	const tried: RightsSource[] = [];
 	for (;;) {
-		const source = decideRightsSource({...open, ...change, lastSource: tried.at(-1)});
+		const source = decideRightsSource({...inputs, ...change, lastSource: tried.at(-1)});
 		if (source === undefined) {
 			return tried;
 		}
@@ -19,16 +19,16 @@
 	}
 };
 
-test('a host that borrows asks allocators first, then draws itself, then asks holders', t => {
-	t.deepEqual(path({}), ['allocators', 'store', 'holders']);
-	t.deepEqual(path({isAllocator: true}), ['store', 'holders']);
+test('a borrowing host asks allocators first, then draws from the store, then asks holders', t => {
+	t.deepEqual(triedSources({}), ['allocators', 'store', 'holders']);
+	t.deepEqual(triedSources({isAllocator: true}), ['store', 'holders']);
 });
 
-test('no draw beside an allocator that reaches the store, nor where it can bring nothing', t => {
-	t.deepEqual(path({hasReachedStore: true}), ['allocators', 'holders']);
-	t.deepEqual(path({mayDraw: false}), ['allocators', 'holders']);
+test('a host does not draw if an allocator has reached the store or if a draw can bring nothing', t => {
+	t.deepEqual(triedSources({hasReachedStore: true}), ['allocators', 'holders']);
+	t.deepEqual(triedSources({mayDraw: false}), ['allocators', 'holders']);
 });
 
-test('a host that stops borrows nothing more', t => {
-	t.deepEqual(path({isRetiring: true, mayDraw: false}), []);
+test('a host that shuts down borrows nothing more', t => {
+	t.deepEqual(triedSources({isRetiring: true, mayDraw: false}), []);
 });
--- a/packages/entry/src/test/is-kept-for-urgent.test.ts
+++ b/packages/entry/src/test/is-kept-for-urgent.test.ts
@@ -1,10 +1,9 @@
 /**
-A budget ran out while callers of all kinds asked for it, and the users' most urgent requests were refused as often as the others.
+Guards against a nearly used-up budget that refuses its most urgent requests as often as the others.
 
-Order of events: the store is away, comes back, all hosts die; what is left of the budget serves whoever comes first, and a few large
-requests take what would have served many urgent ones. 12 s later next to nothing is served. Evidence: budgets with 0 left in the
-store 2 to 6 s after the return, and 131 requests refused in four seconds, each of them more urgent or smaller than what had been
-served.
+The store is out of reach, comes back, and all hosts crash. What is left of the budget then serves the first requests, and a few large ones
+take what would have served many urgent ones. 12 s later next to nothing is served: budgets had 0 left in the store 2 to 6 s after the
+restart, and 131 requests were refused in four seconds, each of them more urgent or smaller than those that had been served.
 */
 import test from 'ava';
 import {isKeptForUrgent} from '../lib/budget-pacing/is-kept-for-urgent.js';
@@ -15,20 +14,20 @@
 	tokens: 500, uncommitted: 2000, fleetRate, urgentShare: 0.3, urgentMeanTokens: 400,
 };
 
-test('near the end of a budget, a large request is turned away for more urgent ones', t => {
+test('when a budget is nearly used up, a large request is refused in favour of more urgent ones', t => {
 	t.true(isKeptForUrgent(inputs));
 	t.false(isKeptForUrgent({...inputs, uncommitted: 100_000}));
 });
 
-test('a request smaller than the more urgent ones takes its turn: turning it away would make room for none', t => {
+test('a request smaller than the more urgent ones is served, since its tokens would not be enough for any of them', t => {
 	t.false(isKeptForUrgent({...inputs, tokens: 399}));
 });
 
-test('nothing is kept where nobody more urgent asks', t => {
+test('nothing is kept if there are no more urgent requests', t => {
 	t.false(isKeptForUrgent({...inputs, urgentShare: 0, urgentMeanTokens: 0}));
 });
 
-test('what counts as more urgent follows the demand of the last seconds', t => {
+test('the demand of more urgent requests covers only the last seconds', t => {
 	let time = 0;
 	const record = createUrgencyRecord(() => time);
 	record.note('b', 0, 900);
@@ -39,5 +38,5 @@
 	t.deepEqual(record.moreUrgentDemand('b', 2), {share: 0.9, meanTokens: 1350});
 	t.deepEqual(record.moreUrgentDemand('other', 2), {share: 0, meanTokens: 0});
 	time = 60_000;
-	t.deepEqual(record.moreUrgentDemand('b', 1), {share: 0, meanTokens: 0}, 'a minute later nobody asked lately');
+	t.deepEqual(record.moreUrgentDemand('b', 1), {share: 0, meanTokens: 0}, 'a minute later there is no recent demand');
 });
--- a/packages/entry/src/test/large-hall.test.ts
+++ b/packages/entry/src/test/large-hall.test.ts
@@ -6,7 +6,7 @@
 import {slotCount} from '../lib/rights-store/slot-count.js';
 import {createMemoryRightsStore} from './lib/memory-rights-store.js';
 import {startHost} from './lib/start-host.js';
-import {startKeepers} from './lib/start-keepers.js';
+import {startRightsManagers} from './lib/start-rights-managers.js';
 
 const hallSize = 6;
 const limit = 100_000;
@@ -14,7 +14,7 @@
 
 const startHall = (t: {teardown: (end: () => void) => void}) => {
 	const store = createMemoryRightsStore();
-	const keepers = startKeepers(hallSize, store, limit);
+	const keepers = startRightsManagers(hallSize, store, limit);
 	t.teardown(() => {
 		for (const {kill} of keepers) {
 			kill();
--- a/packages/entry/src/test/lib/start-keepers.ts
+++ b/packages/entry/src/test/lib/start-rights-managers.ts
@@ -9,36 +9,38 @@
 import type {RightsManager} from '../../lib/rights/rights-manager.js';
 import {makeConfig} from './start-host.js';
 
-type KeeperOfHost = {
+type HostWithRights = {
 	readonly peer: ListedPeer;
 	readonly rights: RightsManager;
-	/** Events logged. */
+	/** The names of the events that the host logged. */
 	readonly events: string[];
-	/** Ends the host without a word. */
+	/** Ends the host as a crash does: it returns no rights. */
 	readonly kill: () => void;
 };
 
 /**
-Starts the keepers of rights of one hall, linked without sockets: peers answer at once, or cannot be reached once they are gone.
+Starts the rights managers of the hosts of one data hall, linked without sockets. Peers reply at once; after they were killed they are
+unreachable.
 
+@param count The number of hosts.
 @param limit Prepaid tokens of the budget `org`.
 @param now Monotonic ms.
 */
-export const startKeepers = (count: number, store: RightsStore, limit: number, now = () => 0): readonly KeeperOfHost[] => {
+export const startRightsManagers = (count: number, store: RightsStore, limit: number, now = () => 0): readonly HostWithRights[] => {
 	const peers: readonly ListedPeer[] = Array.from({length: count}, (_, index) => ({holder: `edge-${index}#a`, address: `10.0.0.${index}:1`, hall: 'h'}));
-	const keepers = new Map<string, RightsManager>();
+	const rightsManagers = new Map<string, RightsManager>();
 	const suspected = new Set<string>();
-	let inReach = peers;
+	let reachablePeers = peers;
 
-	const startKeeper = (peer: ListedPeer): KeeperOfHost => {
+	const startRightsManager = (peer: ListedPeer): HostWithRights => {
 		const events: string[] = [];
 		const loanClient = createLoanClient({
 			mesh: () => ({
 				port: 0,
 				async request(address, body) {
 					const lender = peers.find(entry => entry.address === address)!;
-					const keeper = keepers.get(lender.holder);
-					return keeper ? succeed({lender: lender.holder, ...await keeper.lend(peer.holder, body as LoanRequest)}) : fail('unreachable');
+					const rightsManager = rightsManagers.get(lender.holder);
+					return rightsManager ? succeed({lender: lender.holder, ...await rightsManager.lend(peer.holder, body as LoanRequest)}) : fail('unreachable');
 				},
 				send: () => undefined,
 				quietMs: () => undefined,
@@ -50,7 +52,7 @@
 			},
 			onSilence(address) {
 				suspected.add(address);
-				inReach = peers.filter(entry => !suspected.has(entry.address));
+				reachablePeers = peers.filter(entry => !suspected.has(entry.address));
 			},
 			askTimeoutMs: defaultTimeouts.peerMs,
 			log: () => undefined,
@@ -62,7 +64,7 @@
 			store,
 			loanClient,
 			links: () => ({
-				hallPeers: () => inReach, hallSize: () => count, isPeerListKnown: () => true, peerOf: holder => peers.find(entry => entry.holder === holder),
+				hallPeers: () => reachablePeers, hallSize: () => count, isPeerListKnown: () => true, peerOf: holder => peers.find(entry => entry.holder === holder),
 			}),
 			timeouts: defaultTimeouts,
 			log(event) {
@@ -71,17 +73,17 @@
 			now,
 		});
 		rights.configure(makeConfig({}, limit));
-		keepers.set(peer.holder, rights);
+		rightsManagers.set(peer.holder, rights);
 		return {
 			peer,
 			rights,
 			events,
 			kill() {
 				rights.close();
-				keepers.delete(peer.holder);
+				rightsManagers.delete(peer.holder);
 			},
 		};
 	};
 
-	return peers.map(peer => startKeeper(peer));
+	return peers.map(peer => startRightsManager(peer));
 };
--- a/packages/entry/src/test/plan-draw-amount.test.ts
+++ b/packages/entry/src/test/plan-draw-amount.test.ts
@@ -8,9 +8,9 @@
 	epoch: 0, granted: 600, transferred: 0, rate: 0, settled, billed: settled,
 });
 
-// The first write after an outage of 15 s drew 448 of the 690 that the store had, and gave 170 back 0.2 s later: what the host had
-// spent since its last write counted as left.
-test('a draw counts what this host spent since its last write as spent', t => {
+// The first write after an outage of 15 s drew 448 of the 690 tokens that the store had, and the host returned 170 of them 0.2 s later:
+// what it had spent since its last write had counted as left.
+test('a draw counts what the host has spent since its last write as spent', t => {
 	const wanted = (settledInRecord: number): number => planDrawAmount({
 		account: {...emptyHostAccount, granted: 600, settled: 600},
 		available: 0,
@@ -22,7 +22,7 @@
 			organisation: 'org', limit: 1000, topUps: [], holders: {[holder]: recorded(settledInRecord)},
 		},
 		holder,
-		// Half of what remains.
+		// Holds half of what remains.
 		holdingPolicy: ({remaining}) => remaining / 2,
 		isDrawPaused: false,
 	});
--- a/packages/entry/src/test/plan-rights.test.ts
+++ b/packages/entry/src/test/plan-rights.test.ts
@@ -12,23 +12,23 @@
 };
 const holding = (tokens: number) => ({...emptyHostAccount, granted: tokens});
 
-test('draws when little of the target is left, and not before', t => {
+test('a host draws when it has little of its target left, and not before', t => {
 	t.is(planRights({...base, account: holding(3000)}).type, 'draw');
 	t.is(planRights({...base, account: holding(9000)}).type, 'keep');
 });
 
-test('does not draw from a store that has nothing left', t => {
+test('a host does not draw from a store that has nothing left', t => {
 	t.is(planRights({...base, store: {...store, unallocated: 0}, account: holding(0)}).type, 'keep');
 });
 
-test('gives back what is far above the target', t => {
+test('a host returns what is far above its target', t => {
 	t.deepEqual(planRights({...base, account: holding(40_000)}), {type: 'give_back', tokens: 30_000});
 });
 
-test('keeps its rights while the store is out of reach', t => {
+test('a host keeps its rights while the store is out of reach', t => {
 	t.is(planRights({...base, isStoreUp: false, account: holding(40_000)}).type, 'keep');
 });
 
-test('gives back all that is unspent when the limit fell below what was granted', t => {
+test('a host returns all unspent rights when the limit fell below what the store has granted', t => {
 	t.deepEqual(planRights({...base, isOverGranted: true, account: {...holding(9000), reserved: 2000, settled: 1000}}), {type: 'give_back', tokens: 6000});
 });
--- a/packages/entry/src/test/refuse-for-want-of-rights.test.ts
+++ b/packages/entry/src/test/refuse-for-lack-of-rights.test.ts
@@ -11,7 +11,7 @@
 	organisation: 'org', limit: 1000, topUps: [], holders: {'a#1': holder(300, 250), 'b#1': holder(400, 100), 'c#1': holder(200, 190)},
 };
 
-test('a refusal is final only by a fresh record, and what others hold counts as left', t => {
+test('a refusal is final only if a fresh record proves it, and what other hosts hold counts as left', t => {
 	const inputs = {
 		rights, ageMs: 0, holder: 'a#1', tokens: 461,
 	};
@@ -21,9 +21,9 @@
 	t.false(isBudgetExhausted({...inputs, rights: undefined}));
 });
 
-// On a played day one organisation sent nearly three times its usual. Its budget was used up but for what its open requests had set
-// aside, and its callers were told to come back in 2 s, 24 to 103 of them in two seconds, and refused again.
-test('what open requests may still take, at their most, is not left', t => {
+// On a simulated day one organisation sent nearly three times its usual demand. Its budget was used up except for the reservations of its
+// open requests. Its callers were told to retry after 2 s, 24 to 103 of them in two seconds, and were refused again.
+test('what open requests have reserved for their worst case does not count as left', t => {
 	const {holders} = rights;
 	const busy = {...rights, holders: {...holders, 'b#1': {...holders['b#1']!, reserved: 290}}};
 	const inputs = {rights: busy, ageMs: 0, holder: 'a#1'};
@@ -31,10 +31,10 @@
 	t.false(isBudgetExhausted({...inputs, tokens: 170}));
 });
 
-test('holders with most left are asked first, and the asker is not', t => {
+test('holders with most left are asked first, and the asking host is left out', t => {
 	t.deepEqual(rankHolders(rights, 'a#1'), ['b#1', 'c#1']);
 });
 
-test('callers come back after as long as the store has been away, within bounds', t => {
+test('callers are told to retry after as long as the store has been out of reach, within bounds', t => {
 	t.deepEqual([0, 5000, 100_000].map(downMs => planRetryAfter(downMs)), [2, 5, 30]);
 });
--- a/packages/entry/src/test/rights-after-a-restore.test.ts
+++ b/packages/entry/src/test/rights-after-a-restore.test.ts
@@ -3,7 +3,7 @@
 import test from 'ava';
 import type {BudgetRights, RightsObject} from '@deckwheel/ledger';
 import {createMemoryRightsStore, type MemoryRightsStore} from './lib/memory-rights-store.js';
-import {startKeepers} from './lib/start-keepers.js';
+import {startRightsManagers} from './lib/start-rights-managers.js';
 
 const limit = 1000;
 const soonMs = 60_000;
@@ -17,7 +17,7 @@
 const launch = (t: Scope) => {
 	const clock = {ms: 0};
 	const store = createMemoryRightsStore();
-	const keepers = startKeepers(3, store, limit, () => clock.ms);
+	const keepers = startRightsManagers(3, store, limit, () => clock.ms);
 	t.teardown(() => {
 		for (const {rights} of keepers) {
 			rights.close();
@@ -53,7 +53,7 @@
 };
 
 /** Restores the store, lets hosts notice it, and waits until those that drew have written again. */
-const restoreFor = async (store: MemoryRightsStore, copy: ReturnType<MemoryRightsStore['copy']>, keepers: ReturnType<typeof startKeepers>): Promise<void> => {
+const restoreFor = async (store: MemoryRightsStore, copy: ReturnType<MemoryRightsStore['copy']>, keepers: ReturnType<typeof startRightsManagers>): Promise<void> => {
 	const drew = keepers.map(({peer}) => peer.holder).filter(holder => (holdersOf(store)[holder]?.granted ?? 0) > 0);
 	store.restore(copy);
 	for (const {rights} of keepers) {
--- a/packages/entry/src/test/rights-after-deaths.test.ts
+++ b/packages/entry/src/test/rights-after-crashes.test.ts
@@ -24,8 +24,8 @@
 		version: 1,
 		accountOf: () => account,
 		isConcerned: () => true,
-		wants: () => (view, own) => planDrawAmount({
-			account, available: account.granted - account.settled, missing: 0, view, rights: own, holder, holdingPolicy, isDrawPaused: isRetiring,
+		wants: () => (view, budgetRights) => planDrawAmount({
+			account, available: account.granted - account.settled, missing: 0, view, rights: budgetRights, holder, holdingPolicy, isDrawPaused: isRetiring,
 		}),
 	});
 	if (plan.type !== 'write') {
@@ -35,17 +35,17 @@
 	return plan;
 };
 
-/** A life that draws ahead, spends and reports some tokens, and dies. */
-const liveOnce = (rights: RightsObject, holder: string, spent: number): RightsObject => {
+/** Plays one incarnation of a host: it draws ahead of its demand, spends some tokens, reports them, and crashes. */
+const runIncarnation = (rights: RightsObject, holder: string, spent: number): RightsObject => {
 	const drawn = write(rights, holder, emptyHostAccount, false);
 	const {granted} = drawn.grants[0]!;
 	return write(drawn.rights, holder, {...emptyHostAccount, granted, settled: spent}, true).rights;
 };
 
-test('deaths of all hosts leave most of a budget that was hardly spent', t => {
+test('repeated crashes of a host leave most of a hardly spent budget to be drawn', t => {
 	let rights: RightsObject = {budgets: {}};
-	for (let life = 0; life < 10; life++) {
-		rights = liveOnce(rights, `${host}#${life}`, 1000);
+	for (let incarnation = 0; incarnation < 10; incarnation++) {
+		rights = runIncarnation(rights, `${host}#${incarnation}`, 1000);
 	}
 
 	const {budgets} = prepareRights(rights, {
--- a/packages/entry/src/test/rights-conservation.test.ts
+++ b/packages/entry/src/test/rights-conservation.test.ts
@@ -1,7 +1,7 @@
 import process from 'node:process';
 import test from 'ava';
 import fc from 'fast-check';
-import {createRightsWorld, type WorldCommand} from './lib/rights-world.js';
+import {createRightsSimulation, type SimulationCommand} from './lib/create-rights-simulation.js';
 
 const hostCount = 4;
 const limit = 500;
@@ -11,9 +11,9 @@
 const host = fc.nat({max: hostCount - 1});
 const pick = fc.oneof({weight: 4, arbitrary: fc.nat({max: 2})}, {weight: 1, arbitrary: fc.nat({max: 30})});
 const tokens = fc.integer({min: 1, max: 250});
-const length = {minLength: 60, maxLength: 400, size: 'max'} as const;
+const arrayLength = {minLength: 60, maxLength: 400, size: 'max'} as const;
 
-const command: fc.Arbitrary<WorldCommand> = fc.oneof(
+const command: fc.Arbitrary<SimulationCommand> = fc.oneof(
 	{weight: 4, arbitrary: fc.record({type: fc.constant('read' as const), host})},
 	{weight: 6, arbitrary: fc.record({type: fc.constant('draw' as const), host, tokens})},
 	{weight: 1, arbitrary: fc.record({type: fc.constant('give_back' as const), host, tokens})},
@@ -34,30 +34,30 @@
 	{weight: 1, arbitrary: fc.record({type: fc.constant('restart' as const), host})},
 );
 
-test(`hosts never spend what a counter that sees everything would refuse (seed ${seed})`, t => {
-	let mostSpent = 0;
-	fc.assert(fc.property(fc.array(command, length), commands => {
-		const world = createRightsWorld(hostCount, limit);
-		const isKept = commands.every(entry => world.play(entry));
-		mostSpent = Math.max(mostSpent, world.spent());
-		return isKept;
+test(`hosts never spend what a counter of the whole system would refuse (seed ${seed})`, t => {
+	let maxSpent = 0;
+	fc.assert(fc.property(fc.array(command, arrayLength), commands => {
+		const simulation = createRightsSimulation(hostCount, limit);
+		const isWithinLimit = commands.every(entry => simulation.play(entry));
+		maxSpent = Math.max(maxSpent, simulation.spent());
+		return isWithinLimit;
 	}), {seed, numRuns: runs});
-	// Runs that never come near the limit would prove nothing.
-	t.true(mostSpent > 0.9 * limit, `${mostSpent}`);
+	// If no run came near the limit, the property would prove nothing.
+	t.true(maxSpent > 0.9 * limit, `${maxSpent}`);
 });
 
-test('a limit that rises is used, and no more than it', t => {
+test('hosts never spend more than the highest limit when the limit changes', t => {
 	const limits = fc.record({type: fc.constant('limit' as const), tokens: fc.integer({min: limit, max: 3 * limit})});
-	fc.assert(fc.property(fc.array(fc.oneof({weight: 20, arbitrary: command}, {weight: 1, arbitrary: limits}), length), commands => {
-		const world = createRightsWorld(hostCount, limit);
-		return commands.every(entry => world.play(entry));
+	fc.assert(fc.property(fc.array(fc.oneof({weight: 20, arbitrary: command}, {weight: 1, arbitrary: limits}), arrayLength), commands => {
+		const simulation = createRightsSimulation(hostCount, limit);
+		return commands.every(entry => simulation.play(entry));
 	}), {seed, numRuns: runs});
 	t.pass();
 });
 
-test('the world lets hosts spend at all', t => {
-	const world = createRightsWorld(hostCount, limit);
-	const commands: readonly WorldCommand[] = [
+test('simulated hosts can draw, lend and spend rights', t => {
+	const simulation = createRightsSimulation(hostCount, limit);
+	const commands: readonly SimulationCommand[] = [
 		{type: 'read', host: 0},
 		{type: 'draw', host: 0, tokens: 300},
 		{type: 'write_lands', pick: 0, isAnswered: true},
@@ -68,6 +68,6 @@
 		{type: 'reserve', host: 1, tokens: 200},
 		{type: 'reserve', host: 0, tokens: 100},
 	];
-	t.true(commands.every(entry => world.play(entry)));
-	t.is(world.spent(), 300);
+	t.true(commands.every(entry => simulation.play(entry)));
+	t.is(simulation.spent(), 300);
 });
--- a/packages/entry/src/test/stop-and-rights.test.ts
+++ b/packages/entry/src/test/rights-during-shutdown.test.ts
@@ -1,9 +1,9 @@
 /**
-The story. A host that stops gives its rights back where it ceases to listen, and draws nothing more. What it may still send on by
-`mayForward` needs rights all the same.
+Guards against misleading refusals while a host shuts down. The host returns its rights when it stops listening, and draws nothing from then
+on, but the requests that it may still forward (`mayForward`) need rights.
 
-The evidence. A request that must end before the stop does was refused for want of rights (429, come back in 2 s), though the budget
-has plenty and another host would take it at once.
+A request that had to end before the shutdown did was refused for lack of rights (429, retry after 2 s), although the budget had plenty left
+and another host would have accepted the request at once.
 */
 import test from 'ava';
 import type {RightsStore} from '../adapter/rights-store.js';
@@ -15,7 +15,7 @@
 import {startEndpoint} from './lib/start-endpoint.js';
 import {makeConfig, startHost} from './lib/start-host.js';
 
-/** Well after the linger, and well before the end of the stop, in ms after the signal. */
+/** When the late request arrives, in ms after the shutdown began: well after the host stopped listening, and well before the shutdown ends. */
 const lateMs = 10_000;
 
 const started: Array<() => unknown> = [];
@@ -38,7 +38,7 @@
 	return {...host, clock};
 };
 
-test('a request that lacks rights because its host stops is told that another host takes it at once', async t => {
+test('a request that lacks rights because its host shuts down is told to retry at another host at once', async t => {
 	const {callers, entry, clock, logged} = await launch(createMemoryRightsStore());
 	const before = await callHost(callers, {headers: {[headerNames.tokenCount]: '100,20'}});
 	const open = await openCaller(callers);
@@ -46,12 +46,12 @@
 	const late = await openCaller(callers);
 	void entry.stop();
 	clock.advance(lateMs);
-	// The first rights have gone back once the store has seen it; the request with half a body holds the stop open.
+	// The host has returned its free rights by now. The request with an incomplete body keeps the shutdown from ending.
 	late.sendHead('late', ['content-length: 0', `${headerNames.deadline}: 1000`, `${headerNames.tokenCount}: 100,20`]);
-	const answer = await late.received(text => text.includes('}'));
+	const response = await late.received(text => text.includes('}'));
 	await logged('stopping');
 	t.is(before.status, 200);
-	t.regex(answer, /^HTTP\/1\.1 503/);
-	t.regex(answer, /retry-after: 0\.1\r/i);
-	t.regex(answer, /host_stopping/);
+	t.regex(response, /^HTTP\/1\.1 503/);
+	t.regex(response, /retry-after: 0\.1\r/i);
+	t.regex(response, /host_stopping/);
 });
--- a/packages/entry/src/test/serve-request.test.ts
+++ b/packages/entry/src/test/serve-request.test.ts
@@ -282,7 +282,7 @@
 
 test('rights are not spent twice when the reply to their draw is lost', async t => {
 	const {callers, runs, store} = await serve(makeConfig({routes: [makeRoute({kind: 'stream'})]}, 500), stream(1));
-	store.faults.losesNextAnswer = true;
+	store.faults.losesNextReply = true;
 	for (let i = 0; i < 10; i++) {
 		await callHost(callers, {headers: promptHeaders});
 	}
--- a/packages/ledger/src/holding-policy/holding-policy-by-rate.ts
+++ b/packages/ledger/src/holding-policy/holding-policy-by-rate.ts
@@ -43,7 +43,7 @@
 
 A holder without demand of its own holds its share of what the whole demand takes in that horizon, and at least one request
 of the largest size it has seen, so that a cut finds it ready. Bounded by what remains alone, the deaths of a hardly used
-budget's hosts left little of it: ten deaths of a single host took 67 of 100 tokens (`rights-after-deaths`).
+budget's hosts left little of it: ten deaths of a single host took 67 of 100 tokens (`rights-after-crashes`).
 
 The entry host on a platform holds by this policy: its holders are hosts, which die more often than a pair of hosts of
 `deckwheeld` (`holdingPolicyByShare`), and what a dead host held stays charged.
