--- a/packages/entry/src/lib/budget-pacing/is-after-crashes.ts
+++ b/packages/entry/src/lib/budget-pacing/is-after-crashes.ts
@@ -18,7 +18,7 @@
 @param uncommitted Tokens that are neither spent nor reserved for open requests.
 */
 export const isAfterCrashes = (rights: BudgetRights, uncommitted: number): boolean => {
-	const endedHolders = rights.holders[retiredHolder];
+	const retiredEntry = rights.holders[retiredHolder];
 	const {charged, stranded} = sumUpBudget(rights);
-	return endedHolders !== undefined && endedHolders.billed > charged / 2 && stranded > uncommitted * negligibleStrandedPart;
+	return retiredEntry !== undefined && retiredEntry.billed > charged / 2 && stranded > uncommitted * negligibleStrandedPart;
 };
--- a/packages/entry/src/lib/rights/create-rights-acquirer.ts
+++ b/packages/entry/src/lib/rights/create-rights-acquirer.ts
@@ -30,14 +30,15 @@
 	/** Finds a peer by its name as a holder of rights. */
 	readonly peerOf: (holder: string) => ListedPeer | undefined;
 	readonly timeouts: Pick<Timeouts, 'storeMs' | 'gatherMs'>;
+	/** Whether this host is shutting down: it draws and borrows nothing more. */
 	readonly isRetiring: () => boolean;
 	/** Monotonic ms. */
 	readonly now: () => number;
 };
 
 /**
-Creates the acquirer of a host's rights. It tries the sources of rights in the order of `decideRightsSource`, and owns from when on
-the holders of each budget may be asked for loans again.
+Creates the acquirer of a host's rights. It tries the sources of rights in the order of `decideRightsSource`, and owns the time from
+which the holders of each budget may be asked for loans again.
 */
 export const createRightsAcquirer = ({holder, accounts, allocators, borrower, writer, queue, balancer, peerOf, timeouts, isRetiring, now}: Options): RightsAcquirer => {
 	const nextHoldersAttemptAt = new Map<string, number>();
--- a/packages/entry/src/lib/rights/holding-policy-settings.ts
+++ b/packages/entry/src/lib/rights/holding-policy-settings.ts
@@ -1,7 +1,7 @@
 /**
 How far ahead of its demand a host holds rights (the settings of `holdingPolicyByRate` in `packages/ledger`). With more rights a host
-serves longer while it is cut off from the store; with fewer, a crash of all hosts strands fewer tokens, and most simulated days end with
-such a crash.
+serves longer while it is cut off from the store; with fewer, a crash of all hosts strands fewer tokens, and most simulated days (`deploy/days`)
+end with such a crash.
 */
 export const holdingPolicySettings = {
 	/**
--- a/packages/entry/src/lib/rights/host-account.ts
+++ b/packages/entry/src/lib/rights/host-account.ts
@@ -13,7 +13,7 @@
 	readonly reserved: number;
 	/** What ended requests have cost. */
 	readonly settled: number;
-	/** Tokens ever demanded by requests of this host. A total, so that a loan request that a lender missed leaves no gap in the demand that the lender knows. */
+	/** Tokens ever demanded by requests of this host. A total, which loan requests carry: a lender that missed one of them learns the whole demand from the next. */
 	readonly demanded: number;
 	/** Exponential average of the demand, in tokens per second; too low while `observedSeconds` is short (`demandRate` corrects it). */
 	readonly rate: number;
--- a/packages/entry/src/lib/rights/plan-rights.ts
+++ b/packages/entry/src/lib/rights/plan-rights.ts
@@ -19,6 +19,7 @@
 
 type Inputs = {
 	readonly account: HostAccount;
+	/** The store's view of the budget. */
 	readonly store: StoreView;
 	/** How many hosts hold rights on this budget. */
 	readonly holders: number;
--- a/packages/entry/src/lib/rights/rights-manager.ts
+++ b/packages/entry/src/lib/rights/rights-manager.ts
@@ -27,7 +27,7 @@
 	readonly takeBack: (budget: string, from: string, total: number) => void;
 	/** Notes that the store was restored from an older copy, which may lack the last writes of this host. */
 	readonly noteRestored: () => void;
-	/** Returns all rights that are neither reserved nor spent to the store, and draws nothing from then on. */
+	/** Returns all rights that are neither reserved nor spent to the store, and draws nothing from then on. A later call returns what was released since. */
 	readonly retire: () => Promise<void>;
 	readonly close: () => void;
 };
--- a/packages/entry/src/lib/rights/start-rights-balancer.ts
+++ b/packages/entry/src/lib/rights/start-rights-balancer.ts
@@ -33,6 +33,7 @@
 	readonly budgets: () => Iterable<string>;
 	/** Whether this host knows the list of its peers: hosts that start together need some time to be listed. */
 	readonly isPeerListKnown: () => boolean;
+	/** Whether this host is shutting down: it draws and borrows nothing more. */
 	readonly isRetiring: () => boolean;
 	/** Whether this host draws nothing now, since the store was restored from an older copy a short time ago. */
 	readonly isDrawPaused: () => boolean;
@@ -52,7 +53,7 @@
 	const planBudget = (budget: string): 'keep' | 'write' => {
 		const rights = writer.rightsOf(budget);
 		const account = accounts.get(budget);
-		// The store's record has not been read yet, and a write reads it first. A host that holds rights but has no demand needs no write for that.
+		// The store's record has not been read yet, and a write reads it first. A host that holds rights but has no demand waits for its next write.
 		if (!rights) {
 			return account.rate > 0 || account.granted === 0 ? 'write' : 'keep';
 		}
@@ -81,7 +82,8 @@
 		return !writer.isBusy(slot) && now() - (writtenAt.get(slot) ?? -minWriteIntervalMs) >= minWriteIntervalMs;
 	};
 
-	// A standby allocator, or a host that drew because no allocator replied, also looks after the unspent rights that it drew.
+	// Whether this host looks after rights from the store: it draws them ahead of demand, or it has unspent ones that it drew as a standby
+	// allocator or because no allocator replied.
 	const isStoreHolder = (budget: string): boolean => allocators.drawsAhead(budget) || accounts.get(budget).granted > accounts.get(budget).settled;
 
 	const writeDueSlots = (): void => {
--- a/packages/entry/src/test/budget-pacing-after-a-crash.test.ts
+++ b/packages/entry/src/test/budget-pacing-after-a-crash.test.ts
@@ -30,7 +30,7 @@
 	hosts: 7, requestTokens, priorities: [0, 1, 1, 1, 1], requestGapMs, otherHostsTokens: 9600, outages: [], partition: {from: 0, until: 0}, crash,
 };
 
-test.serial('12 s after a crash of all hosts, what was left of a budget still serves a quarter of the requests', async t => {
+test.serial('what is left of a budget after a crash of all hosts serves at least a quarter of the requests 12 s after the restart', async t => {
 	for (const limit of [1_000_000, 1_100_000, 1_200_000]) {
 		const {requests, drawableAfterCrash} = await simulateCrashOfAllHosts({...scenario, limit, end: crash.until + recoveryMs + observedMs});
 		const late = requests.filter(({at}) => at >= crash.until + recoveryMs);
--- a/packages/entry/src/test/lib/create-rights-simulation.ts
+++ b/packages/entry/src/test/lib/create-rights-simulation.ts
@@ -13,7 +13,9 @@
 type Host = {
 	readonly incarnation: number;
 	readonly account: HostAccount;
+	/** The stored object as this host last read it. */
 	readonly lastRead: Stored | undefined;
+	/** Whether the host waits for the reply to a write. */
 	readonly isWriting: boolean;
 	/** Reserved amounts of open requests. */
 	readonly open: readonly number[];
@@ -51,6 +53,7 @@
 
 Writes may reach the store late or be retried. Replies and messages about loans may be lost, late, or repeated.
 
+@param hostCount The number of hosts.
 @param initialLimit Prepaid tokens of the budget at the start.
 */
 export const createRightsSimulation = (hostCount: number, initialLimit: number) => {
