--- a/packages/entry/src/lib/host/start-peer-tasks.ts
+++ b/packages/entry/src/lib/host/start-peer-tasks.ts
@@ -104,7 +104,7 @@
 		log,
 		now,
 	});
-	const board = createChangeRegistry(elapsed);
+	const registry = createChangeRegistry(elapsed);
 	const links = startPeerLinks({
 		self: {holder, address, hall},
 		directory,
@@ -112,7 +112,7 @@
 		takeBack(from, budget, total) {
 			rights.takeBack(budget, from, total);
 		},
-		answerChanges: board.answer,
+		answerChanges: registry.answer,
 		answerSuspicions: poison.answer,
 		answerPermit: limits.answerPermit,
 		answerLimits: limits.answerLimits,
@@ -129,7 +129,7 @@
 		poison,
 		limits,
 		storeChanges: createStoreChanges({
-			holder, board, links: () => links, log,
+			holder, registry, links: () => links, log,
 		}),
 		hostNames: () => links.hostNames(),
 		register() {
--- a/packages/entry/src/lib/store-changes/change-registry.ts
+++ b/packages/entry/src/lib/store-changes/change-registry.ts
@@ -1,8 +1,11 @@
 import type {StoreChanges} from '../../adapter/store-changes.js';
 import type {ChangeReply} from './change-reply.js';
 
-/** The answering side of change notifications: what this host has seen of the store's topics, for peers that ask. */
+/** The replying side of change notifications: what this host knows of the store's topics, for peers that ask whether a topic changed. */
 export type ChangeRegistry = Pick<StoreChanges, 'publish' | 'noteStoreAnswer' | 'hasSubscribers'> & {
-	/** Answers at once where something changed after the revision `after`, and else after `holdMs`. */
+	/**
+	Replies to a peer that knows the topic up to the store's revision `after`. The reply is held for up to `holdMs` while the topic has
+	not changed after that revision, and is sent at once where it has, or where this host doesn't follow the topic.
+	*/
 	readonly answer: (topic: string, after: number, holdMs: number) => Promise<ChangeReply>;
 };
--- a/packages/entry/src/lib/store-changes/change-reply-schema.ts
+++ b/packages/entry/src/lib/store-changes/change-reply-schema.ts
@@ -1,4 +1,4 @@
 import {z} from 'zod';
 
-/** A peer's reply on a topic, as it arrives. */
+/** The schema of a peer's reply to the question whether a topic of the store changed; the fields are those of `ChangeReply`. */
 export const changeReplySchema = z.object({at: z.number().nonnegative(), changedAt: z.number().nonnegative(), ageMs: z.number().nonnegative()});
--- a/packages/entry/src/lib/store-changes/change-reply.ts
+++ b/packages/entry/src/lib/store-changes/change-reply.ts
@@ -2,7 +2,9 @@
 import type {changeReplySchema} from './change-reply-schema.js';
 
 /**
-What a host answers to a peer that asks whether a topic changed: the revision of the store up to which it knows the topic whole,
-the one at which it last saw a change, and how long ago the store answered it, in ms.
+A host's reply to a peer that asks whether a topic of the store changed.
+
+`at` is the store's revision up to which the host knows every change of the topic, `changedAt` the revision of the last change that the
+host knows of, and `ageMs` how long ago the store last answered the host, in ms.
 */
 export type ChangeReply = Readonly<z.infer<typeof changeReplySchema>>;
--- a/packages/entry/src/lib/store-changes/create-change-registry.ts
+++ b/packages/entry/src/lib/store-changes/create-change-registry.ts
@@ -1,26 +1,28 @@
 import type {ChangeRegistry} from './change-registry.js';
 
-/** Peers that asked within this time, in ms, rely on this host. Longer than a question is held. */
-const askerMemoryMs = 5000;
+/** For how long after a peer's request this host has subscribers, in ms. Must not be shorter than a request may be held (`holdMs` of `peerMessageSchema`). */
+const subscriberTimeoutMs = 5000;
 
-type Seen = {readonly at: number; readonly changedAt: number; readonly validUntil?: number};
+/** What this host knows of a topic; the fields are those of `StoreChanges.publish`. */
+type TopicState = {readonly at: number; readonly changedAt: number; readonly validUntil?: number};
+/** A held request: `resolve` ends the hold, and `after` is the revision up to which the peer knows the topic. */
 type Waiter = {readonly topic: string; readonly after: number; readonly resolve: () => void};
 
 /**
-Creates an empty board.
+Creates a registry that knows no topic.
 
-@param elapsed Elapsed ms: a host that wakes from a suspension must not tell what it knew before as new.
+@param elapsed Elapsed ms, suspensions of the machine included: a host that resumes after a suspension must not report state from before it as fresh.
 */
 export const createChangeRegistry = (elapsed: () => number): ChangeRegistry => {
-	const topics = new Map<string, Seen>();
+	const topics = new Map<string, TopicState>();
 	let waiters: readonly Waiter[] = [];
-	let aliveAt = Number.NEGATIVE_INFINITY;
-	let askedAt = Number.NEGATIVE_INFINITY;
+	let storeAnsweredAt = Number.NEGATIVE_INFINITY;
+	let lastRequestAt = Number.NEGATIVE_INFINITY;
 
-	const wake = (isConcerned: (waiter: Waiter) => boolean): void => {
-		const woken = waiters.filter(waiter => isConcerned(waiter));
-		waiters = waiters.filter(waiter => !woken.includes(waiter));
-		for (const waiter of woken) {
+	const resolveWaiters = (isAffected: (waiter: Waiter) => boolean): void => {
+		const affected = waiters.filter(waiter => isAffected(waiter));
+		waiters = waiters.filter(waiter => !affected.includes(waiter));
+		for (const waiter of affected) {
 			waiter.resolve();
 		}
 	};
@@ -35,40 +37,40 @@
 			},
 		};
 		const timer = setTimeout(() => {
-			wake(entry => entry === waiter);
+			resolveWaiters(entry => entry === waiter);
 		}, holdMs);
 		waiters = [...waiters, waiter];
 	});
 
 	return {
-		publish(topic, seen) {
-			if (!seen) {
+		publish(topic, state) {
+			if (!state) {
 				topics.delete(topic);
-				wake(waiter => waiter.topic === topic);
+				resolveWaiters(waiter => waiter.topic === topic);
 				return;
 			}
 
-			topics.set(topic, seen);
-			wake(waiter => waiter.topic === topic && waiter.after < seen.changedAt);
+			topics.set(topic, state);
+			resolveWaiters(waiter => waiter.topic === topic && waiter.after < state.changedAt);
 		},
 		noteStoreAnswer(at) {
-			aliveAt = Math.max(aliveAt, at);
+			storeAnsweredAt = Math.max(storeAnsweredAt, at);
 		},
-		hasSubscribers: () => elapsed() - askedAt < askerMemoryMs,
+		hasSubscribers: () => elapsed() - lastRequestAt < subscriberTimeoutMs,
 		async answer(topic, after, holdMs) {
-			askedAt = elapsed();
-			const seen = topics.get(topic);
-			if (seen && seen.changedAt <= after) {
+			lastRequestAt = elapsed();
+			const initial = topics.get(topic);
+			if (initial && initial.changedAt <= after) {
 				await untilChange(topic, after, holdMs);
 			}
 
-			const known = topics.get(topic);
-			if (!known || (known.validUntil ?? Number.POSITIVE_INFINITY) <= elapsed()) {
+			const current = topics.get(topic);
+			if (!current || (current.validUntil ?? Number.POSITIVE_INFINITY) <= elapsed()) {
 				return {at: 0, changedAt: 0, ageMs: Number.MAX_SAFE_INTEGER};
 			}
 
-			const {at, changedAt} = known;
-			return {at, changedAt, ageMs: Math.min(Number.MAX_SAFE_INTEGER, elapsed() - aliveAt)};
+			const {at, changedAt} = current;
+			return {at, changedAt, ageMs: Math.min(Number.MAX_SAFE_INTEGER, elapsed() - storeAnsweredAt)};
 		},
 	};
 };
--- a/packages/entry/src/lib/store-changes/create-store-changes.ts
+++ b/packages/entry/src/lib/store-changes/create-store-changes.ts
@@ -9,35 +9,38 @@
 import type {ChangeRegistry} from './change-registry.js';
 import {changeReplySchema} from './change-reply-schema.js';
 
-/** What a reply may take beyond the time for which it is held, in ms. */
-const slackMs = 150;
+/** How much longer than its hold time a reply may take before the request times out, in ms. */
+const replySlackMs = 150;
 
 type Options = {
-	/** The name of this life of the host. */
+	/** The name of this incarnation of the host, as a holder of rights. */
 	readonly holder: string;
-	readonly board: ChangeRegistry;
+	readonly registry: ChangeRegistry;
 	readonly log: Log;
 	readonly links: () => Pick<PeerLinks, 'mesh' | 'hallPeers' | 'hallSize' | 'suspect'>;
 };
 
-/** Creates the asking side of change notifications: knows who follows a topic for the hall, and asks it. */
-export const createStoreChanges = ({holder, board, links, log}: Options): StoreChanges => {
-	/** The peer that follows a topic for this hall; `undefined` where this host does, or each does. */
+/**
+Creates the requesting side of change notifications: finds the host that follows a topic of the store for the hall, and asks that host
+whether the topic changed. Publishing goes to this host's own registry.
+*/
+export const createStoreChanges = ({holder, registry, links, log}: Options): StoreChanges => {
+	/** The peer that follows a topic for this hall; `undefined` where this host follows it, as every host of a small hall does. */
 	const followerOf = (topic: string): ListedPeer | undefined => {
 		if (links().hallSize() <= smallHall) {
 			return undefined;
 		}
 
 		const byAddress = new Map(links().hallPeers().map(peer => [peer.address, peer]));
-		const [first] = rankByRendezvous(`topic ${topic}`, [...byAddress.keys()]);
-		const follower = byAddress.get(first!);
+		const [followerAddress] = rankByRendezvous(`topic ${topic}`, [...byAddress.keys()]);
+		const follower = byAddress.get(followerAddress!);
 		return follower?.holder === holder ? undefined : follower;
 	};
 
 	return {
-		publish: board.publish,
-		noteStoreAnswer: board.noteStoreAnswer,
-		hasSubscribers: board.hasSubscribers,
+		publish: registry.publish,
+		noteStoreAnswer: registry.noteStoreAnswer,
+		hasSubscribers: registry.hasSubscribers,
 		isFollower: topic => followerOf(topic) === undefined,
 		async waitForChange(topic, after, holdMs, freshMs) {
 			const follower = followerOf(topic);
@@ -46,17 +49,17 @@
 				return {type: 'unknown'};
 			}
 
-			// `news` is the name of this message on the wire between hosts.
+			// `news` is the name on the wire of a request whether a topic changed.
 			const reply = await mesh.request(follower.address, {
 				type: 'news', topic, after, holdMs,
-			}, holdMs + slackMs);
+			}, holdMs + replySlackMs);
 			if (!reply.ok) {
 				links().suspect(follower.address);
 				return {type: 'unknown'};
 			}
 
-			const changes = readPeerReply(changeReplySchema, reply.value, {address: follower.address, type: 'news'}, log);
-			return changes ? interpretChangeReply(changes, after, freshMs) : {type: 'unknown'};
+			const changeReply = readPeerReply(changeReplySchema, reply.value, {address: follower.address, type: 'news'}, log);
+			return changeReply ? interpretChangeReply(changeReply, after, freshMs) : {type: 'unknown'};
 		},
 	};
 };
--- a/packages/entry/src/test/create-change-registry.test.ts
+++ b/packages/entry/src/test/create-change-registry.test.ts
@@ -2,60 +2,60 @@
 import {createChangeRegistry} from '../lib/store-changes/create-change-registry.js';
 import {interpretChangeReply} from '../lib/store-changes/interpret-change-reply.js';
 
-const createBoard = () => {
+const createRegistry = () => {
 	const clock = {now: 1000};
-	return {clock, board: createChangeRegistry(() => clock.now)};
+	return {clock, registry: createChangeRegistry(() => clock.now)};
 };
 
-test('a question is answered at once where there is news, and held where there is none', async t => {
-	const {board} = createBoard();
-	board.publish('config', {at: 10, changedAt: 8});
-	board.noteStoreAnswer(1000);
-	t.deepEqual(await board.answer('config', 5, 60_000), {at: 10, changedAt: 8, ageMs: 0});
-	const held = board.answer('config', 10, 60_000);
-	board.publish('config', {at: 15, changedAt: 15});
+test('a request gets its reply at once where the topic has changed, and else as soon as the topic changes', async t => {
+	const {registry} = createRegistry();
+	registry.publish('config', {at: 10, changedAt: 8});
+	registry.noteStoreAnswer(1000);
+	t.deepEqual(await registry.answer('config', 5, 60_000), {at: 10, changedAt: 8, ageMs: 0});
+	const held = registry.answer('config', 10, 60_000);
+	registry.publish('config', {at: 15, changedAt: 15});
 	t.deepEqual(await held, {at: 15, changedAt: 15, ageMs: 0});
 });
 
-test('a host that cannot follow a topic any more says so at once', async t => {
-	const {board} = createBoard();
-	board.publish('config', {at: 10, changedAt: 8});
-	const held = board.answer('config', 10, 60_000);
-	board.publish('config', undefined);
+test('a held request gets its reply at once when the host can no longer follow the topic', async t => {
+	const {registry} = createRegistry();
+	registry.publish('config', {at: 10, changedAt: 8});
+	const held = registry.answer('config', 10, 60_000);
+	registry.publish('config', undefined);
 	t.deepEqual(interpretChangeReply(await held, 10, 1000), {type: 'unknown'});
 });
 
-test('a peer that the store has not answered lately vouches for nothing', async t => {
-	const {board, clock} = createBoard();
-	board.publish('config', {at: 10, changedAt: 8});
-	board.noteStoreAnswer(1000);
+test('a topic does not count as unchanged on the reply of a peer that the store has not answered lately', async t => {
+	const {registry, clock} = createRegistry();
+	registry.publish('config', {at: 10, changedAt: 8});
+	registry.noteStoreAnswer(1000);
 	clock.now += 700;
-	const reply = await board.answer('config', 10, 0);
+	const reply = await registry.answer('config', 10, 0);
 	t.deepEqual(interpretChangeReply(reply, 10, 1000), {type: 'unchanged', at: 10});
 	t.deepEqual(interpretChangeReply(reply, 10, 600), {type: 'unknown'});
 });
 
-test('a change that the asker has seen is no news, and the peer says up to which revision it knows', t => {
+test('only a change after the revision that the requesting host knows counts as new, however old the contact to the store', t => {
 	t.deepEqual(interpretChangeReply({at: 9, changedAt: 8, ageMs: 0}, 12, 100), {type: 'unchanged', at: 9});
 	t.deepEqual(interpretChangeReply({at: 20, changedAt: 13, ageMs: 9999}, 12, 100), {type: 'changed'});
 });
 
-test('hosts that are asked know it, for a while', async t => {
-	const {board, clock} = createBoard();
-	t.false(board.hasSubscribers());
-	await board.answer('config', 0, 0);
-	t.true(board.hasSubscribers());
+test('a host has subscribers from the first request on, and none once requests have stopped', async t => {
+	const {registry, clock} = createRegistry();
+	t.false(registry.hasSubscribers());
+	await registry.answer('config', 0, 0);
+	t.true(registry.hasSubscribers());
 	clock.now += 10_000;
-	t.false(board.hasSubscribers());
+	t.false(registry.hasSubscribers());
 });
 
-// While a machine is suspended its timers stand still, so nothing has taken back what it told before.
-test('a host that wakes from a suspension tells peers nothing that it knew before', async t => {
-	const {board, clock} = createBoard();
-	board.publish('config', {at: 10, changedAt: 8, validUntil: 2300});
-	board.noteStoreAnswer(1000);
-	t.deepEqual(interpretChangeReply(await board.answer('config', 10, 0), 10, 1000), {type: 'unchanged', at: 10});
+// Timers stand still while a machine is suspended, so no timer has withdrawn the state that the host published before the suspension.
+test('a host that resumes after a suspension does not report state from before it as fresh', async t => {
+	const {registry, clock} = createRegistry();
+	registry.publish('config', {at: 10, changedAt: 8, validUntil: 2300});
+	registry.noteStoreAnswer(1000);
+	t.deepEqual(interpretChangeReply(await registry.answer('config', 10, 0), 10, 1000), {type: 'unchanged', at: 10});
 	clock.now += 5000;
-	board.noteStoreAnswer(clock.now);
-	t.deepEqual(interpretChangeReply(await board.answer('config', 10, 0), 10, 1000), {type: 'unknown'});
+	registry.noteStoreAnswer(clock.now);
+	t.deepEqual(interpretChangeReply(await registry.answer('config', 10, 0), 10, 1000), {type: 'unknown'});
 });
