--- /dev/null
+++ b/packages/entry/src/lib/peers/count-peer-requests.ts
@@ -0,0 +1,24 @@
+import type {EventCounter} from '@deckwheel/host-kit';
+import type {Mesh} from '@deckwheel/mesh';
+
+const typeOf = (message: unknown): string => (message as {readonly type: string}).type;
+
+/**
+Wraps the links to peers, so that an event counter counts the requests to peers by type and result (`lend:answered`, `lend:unknown`).
+
+`quietest_ms` is the longest time for which a link had received nothing at all when a request on it failed, in ms. It tells a dead link from
+a slow peer: over a link to a peer that only replies late, something has arrived a moment ago.
+*/
+export const countPeerRequests = (mesh: Mesh, counter: EventCounter): Mesh => ({
+	...mesh,
+	async request(address, body, timeoutMs) {
+		const result = await mesh.request(address, body, timeoutMs);
+		counter.increment(`${typeOf(body)}:${result.ok ? 'answered' : result.error}`);
+		const quietMs = mesh.quietMs(address);
+		if (!result.ok && quietMs !== undefined) {
+			counter.recordMax('quietest_ms', Math.round(quietMs));
+		}
+
+		return result;
+	},
+});
--- a/packages/entry/src/lib/peers/create-peer-list.ts
+++ b/packages/entry/src/lib/peers/create-peer-list.ts
@@ -4,34 +4,36 @@
 import {viewHall} from './view-hall.js';
 
 /**
-How long a peer that did not answer is not counted on, in ms. Short, so that a host that
-restarts is asked again soon.
+For how long a peer that did not reply is left out of the reachable hosts, in ms. Short, so that a host that restarts gets requests
+again soon.
 */
 const suspicionMs = 3000;
 
-/** The hosts that a host knows of. */
+/** The hosts that this host knows of, itself included. */
 type PeerList = {
-	/** Takes in what the directory lists. */
+	/** Replaces the listed hosts by those that the directory lists. */
 	readonly setListed: (peers: readonly ListedPeer[]) => void;
-	/** Takes in one more host, in the place of an earlier life at its address. */
+	/** Adds a host in place of an earlier incarnation at its address. Does nothing for a known holder and for this host's own address. */
 	readonly add: (peer: ListedPeer) => void;
-	/** Takes in this host as peers find it. */
+	/** Sets how peers reach this host. */
 	readonly setSelf: (self: ListedPeer) => void;
 	readonly self: () => ListedPeer;
-	/** All that are listed but for this host, and for its earlier lives at its own address. */
+	/** All listed hosts except this one and its earlier incarnations at its own address. */
 	readonly others: () => readonly ListedPeer[];
-	readonly ofHolder: (holder: string) => ListedPeer | undefined;
+	/** The listed host whose incarnation has this name as a holder of rights. */
+	readonly findByHolder: (holder: string) => ListedPeer | undefined;
+	/** Leaves the peer at this address out of the reachable hosts for `suspicionMs`. */
 	readonly suspect: (address: string) => void;
-	/** Counts on a peer again at once. */
+	/** Ends the suspicion of the peer at this address. */
 	readonly trust: (address: string) => void;
-	/** This host and all that are listed, by address. The same value until something changes. */
-	readonly names: () => HostNames;
-	/** The own hall as it is now. The same arrays until something changes. */
-	readonly hall: () => HallView;
+	/** The addresses of this host and of all listed hosts. The same value until a host is added, removed or changed. */
+	readonly hostNames: () => HostNames;
+	/** The hosts of this host's hall. The same value until the listed hosts or the suspicions change. */
+	readonly hallView: () => HallView;
 };
 
 /**
-Creates a list that holds this host only.
+Creates a peer list that holds this host only.
 
 @param now Monotonic ms.
 */
@@ -42,12 +44,12 @@
 	let view: HallView | undefined;
 	let names: HostNames | undefined;
 
-	const change = (): void => {
+	const invalidateViews = (): void => {
 		view = undefined;
 		names = undefined;
 	};
 
-	const forgetEnded = (): void => {
+	const removeExpiredSuspicions = (): void => {
 		for (const [address, until] of suspectedUntil) {
 			if (until <= now()) {
 				suspectedUntil.delete(address);
@@ -58,7 +60,7 @@
 	return {
 		setListed(peers) {
 			listed = new Map(peers.map(peer => [peer.holder, peer]));
-			change();
+			invalidateViews();
 		},
 		add(peer) {
 			if (listed.has(peer.holder) || peer.address === self.address) {
@@ -67,15 +69,15 @@
 
 			const others = [...listed.values()].filter(({address}) => address !== peer.address);
 			listed = new Map([...others, peer].map(entry => [entry.holder, entry]));
-			change();
+			invalidateViews();
 		},
-		setSelf(next) {
-			self = next;
-			change();
+		setSelf(newSelf) {
+			self = newSelf;
+			invalidateViews();
 		},
 		self: () => self,
 		others: () => [...listed.values()].filter(({address}) => address !== self.address),
-		ofHolder: holder => listed.get(holder),
+		findByHolder: holder => listed.get(holder),
 		suspect(address) {
 			suspectedUntil.set(address, now() + suspicionMs);
 			view = undefined;
@@ -85,13 +87,13 @@
 				view = undefined;
 			}
 		},
-		names() {
+		hostNames() {
 			names ??= {host: self.address, hosts: [...new Set([self, ...listed.values()].map(({address}) => address))]};
 			return names;
 		},
-		hall() {
+		hallView() {
 			if (view === undefined || now() >= view.validUntil) {
-				forgetEnded();
+				removeExpiredSuspicions();
 				view = viewHall({
 					self, listed: listed.values(), suspectedUntil, now: now(),
 				});
--- a/packages/entry/src/lib/peers/create-peer-answerer.ts
+++ b/packages/entry/src/lib/peers/create-peer-request-handler.ts
@@ -4,13 +4,18 @@
 import {peerMessageSchema} from './peer-message-schema.js';
 
 type Options = PeerHandlers & {
-	/** The name of this life of the host. */
+	/** The name of this incarnation of the host, as a holder of rights. */
 	readonly holder: string;
 	readonly log: Log;
 };
 
-/** Creates the function that checks what peers ask and passes it to who answers it. */
-export const createPeerAnswerer = ({lend, takeBack, answerChanges, answerSuspicions, answerPermit, answerLimits, holder, log}: Options) => async (from: Identity, body: unknown): Promise<unknown> => {
+/**
+Creates the function that checks a peer's request against the schema and passes it to its handler. The function resolves with the reply, and
+with `undefined` for a malformed request, which is logged.
+*/
+export const createPeerRequestHandler = ({
+	lend, takeBack, answerChanges, answerSuspicions, answerPermit, answerLimits, holder, log,
+}: Options) => async (from: Identity, body: unknown): Promise<unknown> => {
 	const message = peerMessageSchema.safeParse(body);
 	if (!message.success) {
 		log('peer_message_malformed', {from: from.incarnation});
@@ -20,7 +25,8 @@
 	const {data} = message;
 	switch (data.type) {
 		case 'hand_back': {
-			// A total counts for one life. The next one at this address would credit itself with all that the earlier one got.
+			// `total` counts all rights that the peer ever gave to one incarnation of a host. Were it meant for an earlier incarnation at this
+			// address, this host would credit itself with all rights that the earlier incarnation got.
 			const isTaken = data.to === holder;
 			if (isTaken) {
 				takeBack(from.incarnation, data.budget, data.total);
@@ -31,7 +37,7 @@
 			return {isTaken};
 		}
 
-		// The name on the wire of a question about changes in the store.
+		// `news` is the name on the wire of a request whether a topic of the store changed.
 		case 'news': {
 			return answerChanges(data.topic, data.after, data.holdMs);
 		}
--- a/packages/entry/src/lib/peers/create-registration.ts
+++ b/packages/entry/src/lib/peers/create-registration.ts
@@ -3,87 +3,88 @@
 import type {Log} from '../../adapter/log.js';
 import type {PeerDirectory} from '../../adapter/peer-directory.js';
 
-/** Between two calls to a directory that is out of reach, in ms. */
-const retryPauseMs = 500;
+/** The delay between two calls to an unreachable directory, in ms. */
+const retryDelayMs = 500;
 
-/** Hosts that start together are all listed after this time, in ms. */
-const settleMs = 1000;
+/** How long after a host was listed the hosts that started together with it are taken to be listed too, in ms. */
+const settleDelayMs = 1000;
 
-/** When the directory is read once more after that, for hosts that came late, in ms. */
-const readAgainMs = 4000;
+/** How long after `settleDelayMs` the directory is read once more, for hosts that were listed later, in ms. */
+const lateReadDelayMs = 4000;
 
 type Options = {
 	readonly directory: PeerDirectory;
 	/** This host, as peers find it. */
 	readonly self: () => ListedPeer;
-	/** Opens this host to peers that know the secret. */
+	/** Starts to listen for peers that know the secret. */
 	readonly listen: (secret: string) => Promise<void>;
-	/** Reads the directory. */
-	readonly list: () => Promise<void>;
+	/** Reads the listed hosts from the directory. */
+	readonly readPeerList: () => Promise<void>;
 	readonly log: Log;
 };
 
-/** How this host is listed in the directory. */
+/** The entry of this host in the directory. */
 type Registration = {
-	/** Listens for peers, and lists this host. */
+	/** Listens for peers, lists this host in the directory and reads the directory. Resolves after the last read. */
 	readonly start: () => Promise<void>;
-	/** Lists this host again, and shares the secret that it knows, in a directory that may have lost both. Does nothing before it is listed. */
+	/** Shares this host's secret and lists this host again, in a directory that may have lost both. Does nothing before this host listens. */
 	readonly renew: () => Promise<void>;
-	/** Whether the directory was read after all hosts that started together had time to be listed. */
+	/** Whether the directory was read after `settleDelayMs`, when the hosts that started together with this one are listed. */
 	readonly isSettled: () => boolean;
+	/** Ends the retries of calls to the directory. */
 	readonly close: () => void;
 };
 
-/** Creates the registration of a host that is not listed. */
-export const createRegistration = ({directory, self, listen, list, log}: Options): Registration => {
+/** Creates the registration of a host that is not listed in the directory yet. */
+export const createRegistration = ({directory, self, listen, readPeerList, log}: Options): Registration => {
 	let isClosed = false;
 	let isSettled = false;
-	/** The secret by which this host listens for peers. */
-	let joinedWith: string | undefined;
+	/** The secret with which this host listens for peers; `undefined` until it listens. */
+	let listeningSecret: string | undefined;
 
-	/** Calls the directory until it answers, or this host closes. */
-	const untilDone = async <T>(ask: () => Promise<T | undefined>): Promise<T | undefined> => {
+	/** Calls the directory until it answers or the registration is closed. */
+	const retryUntilAnswered = async <T>(call: () => Promise<T | undefined>): Promise<T | undefined> => {
 		for (;;) {
-			const answered = await ask();
-			if (answered !== undefined || isClosed) {
-				return answered;
+			const result = await call();
+			if (result !== undefined || isClosed) {
+				return result;
 			}
 
-			await sleep(retryPauseMs);
+			await sleep(retryDelayMs);
 		}
 	};
 
-	// Others list themselves at about the same time.
+	// Hosts that start together list themselves at about the same time: the first read of the directory may miss some of them.
 	const register = async (): Promise<void> => {
-		await untilDone(async () => await directory.register(self()) || undefined);
-		await list();
-		await sleep(settleMs, undefined, {ref: false});
-		await list();
+		await retryUntilAnswered(async () => await directory.register(self()) || undefined);
+		await readPeerList();
+		await sleep(settleDelayMs, undefined, {ref: false});
+		await readPeerList();
 	};
 
 	return {
 		async start() {
-			const secret = await untilDone(async () => directory.shareSecret());
+			const secret = await retryUntilAnswered(async () => directory.shareSecret());
 			if (secret === undefined || isClosed) {
 				return;
 			}
 
-			// A host listens before it is listed, so that no peer finds it listed and not listening.
+			// This host listens before it is listed, so that no peer finds it listed and cannot connect.
 			await listen(secret);
-			joinedWith = secret;
+			listeningSecret = secret;
 			await register();
 			isSettled = true;
-			await sleep(readAgainMs, undefined, {ref: false});
-			await list();
+			await sleep(lateReadDelayMs, undefined, {ref: false});
+			await readPeerList();
 		},
 		async renew() {
-			const known = joinedWith;
-			if (known === undefined) {
+			const ownSecret = listeningSecret;
+			if (ownSecret === undefined) {
 				return;
 			}
 
-			const shared = await untilDone(async () => directory.shareSecret(known));
-			if (shared !== known) {
+			const sharedSecret = await retryUntilAnswered(async () => directory.shareSecret(ownSecret));
+			if (sharedSecret !== ownSecret) {
 				log('peer_secret_replaced');
 			}
 
--- a/packages/entry/src/lib/peers/hall-view.ts
+++ b/packages/entry/src/lib/peers/hall-view.ts
@@ -1,11 +1,11 @@
 import type {ListedPeer} from '../../adapter/listed-peer.js';
 
-/** What a host knows of its own hall at one moment. */
+/** What this host knows of the hosts of its own hall at one moment. */
 export type HallView = {
-	/** Hosts that are counted on, this one first. */
+	/** The reachable hosts: listed, and not under suspicion for a missing reply. This host comes first. */
 	readonly peers: readonly ListedPeer[];
-	/** Hosts that are listed, counted on or not, this one among them. */
+	/** How many hosts are listed, reachable or not, this host included. */
 	readonly size: number;
-	/** When the first suspicion ends, so that the view has to be made anew; monotonic ms. */
+	/** When the first suspicion ends and the view has to be made again, in monotonic ms; infinity without a suspicion. */
 	readonly validUntil: number;
 };
--- a/packages/entry/src/lib/peers/peer-handlers.ts
+++ b/packages/entry/src/lib/peers/peer-handlers.ts
@@ -4,18 +4,18 @@
 import type {EndpointLimits} from '../request-limits/endpoint-limits.js';
 import type {ChangeReply} from '../store-changes/change-reply.js';
 
-/** Who answers which message of a peer. */
+/** The handlers of peers' requests, one for each type of message. `from` and `to` are names of holders. */
 export type PeerHandlers = {
-	/** Answers a peer that asks for rights. */
+	/** Replies to a peer that asks for a loan of rights. */
 	readonly lend: (to: string, request: LoanRequest) => Promise<LoanReply>;
-	/** Takes rights that a peer hands back; `total` is all that it ever gave. */
+	/** Takes in rights that a peer hands back; `total` is all tokens that the peer ever gave to this host of this budget. */
 	readonly takeBack: (from: string, budget: string, total: number) => void;
-	/** Answers a peer that asks whether something changed in the store. */
+	/** Replies to a peer that asks whether a topic of the store changed after the revision `after`; the reply may be held for `holdMs`. */
 	readonly answerChanges: (topic: string, after: number, holdMs: number) => Promise<ChangeReply>;
-	/** Answers a peer of a hall that tells of requests that end endpoints. */
-	readonly answerSuspicions: (hall: string, question: SuspicionsRequest) => SuspicionsReply;
-	/** Answers a peer that asks for a permit for one request to an endpoint. */
+	/** Replies to a peer of the hall `hall` that reports requests suspected of crashing endpoints. */
+	readonly answerSuspicions: (hall: string, request: SuspicionsRequest) => SuspicionsReply;
+	/** Replies to a peer that asks for a permit for a request to an endpoint. */
 	readonly answerPermit: EndpointLimits['answerPermit'];
-	/** Takes in what a peer tells of limits of endpoints. */
+	/** Takes in the limits of endpoints that a peer reports. */
 	readonly answerLimits: EndpointLimits['answerLimits'];
 };
--- a/packages/entry/src/lib/peers/peer-message-schema.ts
+++ b/packages/entry/src/lib/peers/peer-message-schema.ts
@@ -3,9 +3,12 @@
 import {limitsMessageSchema} from '../request-limits/limits-message-schema.js';
 import {permitRequestSchema} from '../request-limits/permit-request-schema.js';
 
-/** What hosts ask of each other. Amounts are tokens. */
+/** The schema of the requests that hosts send to each other. Amounts are tokens. */
 export const peerMessageSchema = z.discriminatedUnion('type', [
-	/** `demanded`: tokens ever demanded by requests of the asker; `received`: all that it knows to have got from the lender; `rank`: the most urgent request that waits for it. */
+	/**
+	A request for a loan. `demanded`: all tokens ever demanded by requests of callers at the borrower; `received`: all tokens that the borrower
+	knows to have received from the lender; `rank`: the most urgent of the callers' requests that wait for the loan.
+	*/
 	z.object({
 		type: z.literal('lend'),
 		budget: z.string(),
@@ -14,11 +17,11 @@
 		received: z.number().nonnegative(),
 		rank: z.object({priority: z.number(), tokens: z.number().nonnegative()}).optional(),
 	}),
-	/** Whether a topic of the store changed after a revision; the answer may be held. */
+	/** A request whether a topic of the store changed after the revision `after`. The reply may be held for `holdMs`. */
 	z.object({
 		type: z.literal('news'), topic: z.string().max(100), after: z.number().nonnegative(), holdMs: z.number().nonnegative().max(5000),
 	}),
-	/** `to`: the life of the host that it is meant for; `total`: all that the sender ever gave to that life on this budget. */
+	/** A return of rights. `to`: the incarnation of the host that it is meant for; `total`: all tokens of this budget that the sender ever gave to that incarnation. */
 	z.object({
 		type: z.literal('hand_back'), to: z.string(), budget: z.string(), total: z.number().nonnegative(),
 	}),
--- a/packages/entry/src/lib/peers/small-hall.ts
+++ b/packages/entry/src/lib/peers/small-hall.ts
@@ -1,5 +1,5 @@
 /**
-In a hall of up to this many hosts each draws for itself and follows the store itself: with so few,
-one that asks for all saves few calls, and its death leaves the others without rights for a moment.
+The largest number of hosts in a small hall. Each host of a small hall draws its own rights from the store and follows the store itself:
+one host that did so for all would save few calls, and its crash would leave the others without rights for a moment.
 */
 export const smallHall = 4;
--- a/packages/entry/src/lib/peers/start-peer-links.ts
+++ b/packages/entry/src/lib/peers/start-peer-links.ts
@@ -4,26 +4,26 @@
 import type {ListedPeer} from '../../adapter/listed-peer.js';
 import type {Log} from '../../adapter/log.js';
 import type {PeerDirectory} from '../../adapter/peer-directory.js';
-import {countPeerQuestions} from './count-peer-questions.js';
-import {createPeerAnswerer} from './create-peer-answerer.js';
+import {countPeerRequests} from './count-peer-requests.js';
+import {createPeerRequestHandler} from './create-peer-request-handler.js';
 import {createPeerList} from './create-peer-list.js';
 import {createRegistration} from './create-registration.js';
 import type {PeerHandlers} from './peer-handlers.js';
 import type {PeerLinks} from './peer-links.js';
 
 /**
-The directory is not read more often than this for a holder that is not listed or a peer that is silent, in ms, so that
-a death of many hosts brings one call and not one for each.
+The shortest time between two reads of the directory for unlisted holders and for peers that do not reply, in ms: a crash of many hosts
+causes one call and not one for each host.
 */
-const listPauseMs = 2000;
+const minReadIntervalMs = 2000;
 
 type Options = PeerHandlers & {
 	readonly self: ListedPeer;
 	readonly directory: PeerDirectory;
 	readonly log: Log;
-	/** Called when the directory was read. */
+	/** Called after each successful read of the directory. */
 	readonly onListed: () => void;
-	/** Called when a link that carried nothing any more was replaced. */
+	/** Called when a link over which nothing arrived any more was replaced by a new one. */
 	readonly onLinkReplaced: () => void;
 	/** Monotonic ms. */
 	readonly now: () => number;
@@ -32,33 +32,33 @@
 /**
 Lists this host in the directory, listens for peers, and keeps the links to them.
 
-It owns the links (by `mesh`) and the list of peers; who of the hall is counted on is decided by `viewHall`.
+It owns the links (by `mesh`) and the peer list; which hosts of the hall count as reachable is decided by `viewHall`.
 */
 export const startPeerLinks = ({self, directory, log, onListed, onLinkReplaced, now, ...handlers}: Options): PeerLinks => {
 	const peers = createPeerList(self, now);
-	const answer = createPeerAnswerer({...handlers, holder: self.holder, log});
+	const handleRequest = createPeerRequestHandler({...handlers, holder: self.holder, log});
 	let mesh: Mesh | undefined;
-	let listAgainAt = 0;
+	let nextReadAt = 0;
 
-	const list = async (): Promise<void> => {
-		const found = await directory.list();
-		if (found) {
-			peers.setListed(found);
-			log('peers_listed', {count: found.length});
+	const readPeerList = async (): Promise<void> => {
+		const listed = await directory.list();
+		if (listed) {
+			peers.setListed(listed);
+			log('peers_listed', {count: listed.length});
 			onListed();
 		}
 	};
 
-	const relist = (): void => {
-		if (now() > listAgainAt) {
-			listAgainAt = now() + listPauseMs;
-			void list();
+	const rereadPeerList = (): void => {
+		if (now() > nextReadAt) {
+			nextReadAt = now() + minReadIntervalMs;
+			void readPeerList();
 		}
 	};
 
-	// It was the link that was silent, and not the peer: hosts of a large hall that asked others meanwhile, or drew for
-	// themselves, would go on doing so for the time of the suspicion.
-	const noteReplaced = (address: string, quietMs: number): void => {
+	// The link had failed and not the peer, so the suspicion of the peer ends. Otherwise this host would send its requests to other
+	// peers, or draw rights from the store itself, until the suspicion expires.
+	const noteLinkReplaced = (address: string, quietMs: number): void => {
 		peers.trust(address);
 		log('link_replaced', {address, quiet_ms: Math.round(quietMs)});
 		onLinkReplaced();
@@ -66,17 +66,17 @@
 
 	const listen = async (secret: string): Promise<void> => {
 		const {host, port} = splitAddress(self.address);
-		mesh = countPeerQuestions(await openMesh({
+		mesh = countPeerRequests(await openMesh({
 			self: {incarnation: self.holder, hall: self.hall},
 			secret,
 			listen: {host, port},
-			handlers: {onRequest: answer, onMessage: () => undefined, onLinkReplaced: noteReplaced},
+			handlers: {onRequest: handleRequest, onMessage: () => undefined, onLinkReplaced: noteLinkReplaced},
 		}), createEventCounter('peer_questions', log));
 		peers.setSelf({...self, address: `${host}:${mesh.port}`});
 	};
 
 	const registration = createRegistration({
-		directory, self: peers.self, listen, list, log,
+		directory, self: peers.self, listen, readPeerList, log,
 	});
 	void registration.start();
 	return {
@@ -84,20 +84,20 @@
 		self: peers.self,
 		others: peers.others,
 		peerOf(holder) {
-			const peer = peers.ofHolder(holder);
-			// Names without a `#` stand for lives that have ended.
+			const peer = peers.findByHolder(holder);
+			// A holder's name without a `#` stands for incarnations that have ended, so reading the directory again could not find it.
 			if (!peer && holder.includes('#')) {
-				relist();
+				rereadPeerList();
 			}
 
 			return peer;
 		},
-		hallPeers: () => peers.hall().peers,
-		hallSize: () => peers.hall().size,
+		hallPeers: () => peers.hallView().peers,
+		hallSize: () => peers.hallView().size,
 		isPeerListKnown: registration.isSettled,
-		hostNames: () => registration.isSettled() ? peers.names() : undefined,
+		hostNames: () => registration.isSettled() ? peers.hostNames() : undefined,
 		noteHost(peer, how) {
-			if (how === 'direct' || !peers.names().hosts.includes(peer.address)) {
+			if (how === 'direct' || !peers.hostNames().hosts.includes(peer.address)) {
 				peers.add(peer);
 			}
 		},
@@ -106,7 +106,7 @@
 		},
 		suspect(address) {
 			peers.suspect(address);
-			relist();
+			rereadPeerList();
 		},
 		async close() {
 			registration.close();
--- a/packages/entry/src/test/count-peer-questions.test.ts
+++ b/packages/entry/src/test/count-peer-requests.test.ts
@@ -1,14 +1,14 @@
 import test from 'ava';
 import {fail, succeed, type Result} from '@deckwheel/core';
 import type {LinkError} from '@deckwheel/mesh';
-import {countPeerQuestions} from '../lib/peers/count-peer-questions.js';
+import {countPeerRequests} from '../lib/peers/count-peer-requests.js';
 
-test('questions are counted by type and end, and how long a link was quiet is kept only of those without an answer', async t => {
-	const outcomes: Array<Result<unknown, LinkError>> = [succeed({}), fail('unknown'), fail('unreachable')];
-	const quiet = [90_000, 300.4, undefined];
+test('requests to peers are counted by type and result, and only those that failed count for the quiet time of their link', async t => {
+	const results: Array<Result<unknown, LinkError>> = [succeed({}), fail('unknown'), fail('unreachable')];
+	const quietTimesMs = [90_000, 300.4, undefined];
 	const counts: Record<string, number> = {};
-	const mesh = countPeerQuestions({
-		port: 0, request: async () => outcomes.shift()!, send: () => undefined, quietMs: () => quiet.shift(), close: async () => undefined,
+	const mesh = countPeerRequests({
+		port: 0, request: async () => results.shift()!, send: () => undefined, quietMs: () => quietTimesMs.shift(), close: async () => undefined,
 	}, {
 		increment(name) {
 			counts[name] = (counts[name] ?? 0) + 1;
--- a/packages/entry/src/test/hand-back.test.ts
+++ b/packages/entry/src/test/hand-back.test.ts
@@ -13,7 +13,7 @@
 import test from 'ava';
 import {available} from '@deckwheel/ledger';
 import {createBorrower} from '../lib/lending/create-borrower.js';
-import {createPeerAnswerer} from '../lib/peers/create-peer-answerer.js';
+import {createPeerRequestHandler} from '../lib/peers/create-peer-request-handler.js';
 import {createAccounts} from '../lib/rights/create-accounts.js';
 
 const budget = 'org';
@@ -22,7 +22,7 @@
 
 const startAnswerer = () => {
 	const taken: number[] = [];
-	const answer = createPeerAnswerer({
+	const answer = createPeerRequestHandler({
 		holder: 'edge-1#b',
 		log: () => undefined,
 		lend: async () => ({total: 0, reachesStore: true}),
