--- a/packages/entry/src/lib/host/create-caller-connections.ts
+++ b/packages/entry/src/lib/host/create-caller-connections.ts
@@ -4,64 +4,67 @@
 import type {CallerConnections} from './caller-connections.js';
 
 type Connection = {
-	/** Answers that have not reached the system whole. */
-	readonly open: Set<ServerResponse>;
-	/** What had come when the last answer ended, in bytes; `undefined` before the first. */
-	answeredAtBytes: number | undefined;
-	/** Monotonic ms. */
+	/** Responses that were not yet written whole to the operating system. */
+	readonly openResponses: Set<ServerResponse>;
+	/** How many bytes the connection had received when its last response ended; `undefined` before the end of the first response. */
+	bytesReadAtResponseEnd: number | undefined;
+	/** When this process accepted the connection, in monotonic ms. */
 	readonly acceptedAt: number;
-	/** How long it waited before that, in ms. */
+	/** How long the connection waited in the accept queue before that, in ms. */
 	readonly waitedMs: number;
 };
 
 /**
-Creates the list of callers' connections, which is empty.
+Creates an empty list of callers' connections.
 
-Node's own idea of an idle connection includes one whose answer still waits in the process for a caller that reads slowly; closing
-it would cut that answer. And a connection closes after the last of its answers only, since a caller may have sent on several requests.
+Node.js counts a connection as idle while its response still waits in the process for a caller that reads slowly, and closing the
+connection would cut that response. A connection is closed only after the last of its responses, because a caller may have sent several
+requests on it.
 
 @param now Monotonic ms.
 */
 export const createCallerConnections = (now: () => number): CallerConnections => {
 	const connections = new Map<Socket, Connection>();
-	/** Of first requests that were there when their connections were taken. */
-	const waits = new WeakMap<ServerResponse, number>();
+	/** The wait in the accept queue of requests that were sent with their connections, in ms. */
+	const waitedMsByResponse = new WeakMap<ServerResponse, number>();
 
-	// A first request may be under way, perhaps in a packet that was lost; of a later one, bytes may be here.
-	const isIdle = (socket: Socket, {open, answeredAtBytes}: Connection): boolean => open.size === 0 && socket.bytesRead === answeredAtBytes;
+	// A new connection is not idle: its first request may be on its way, perhaps in a packet that was lost. Nor is one that has received
+	// bytes since its last response: they belong to the next request.
+	const isIdle = (socket: Socket, {openResponses, bytesReadAtResponseEnd}: Connection): boolean => openResponses.size === 0 && socket.bytesRead === bytesReadAtResponseEnd;
 
-	// A caller may open a connection long before it sends a request; one that comes sooner than the connection waited was sent with it.
-	const isWaiting = ({open, answeredAtBytes, acceptedAt, waitedMs}: Connection): boolean =>
-		open.size === 0 && answeredAtBytes === undefined && now() - acceptedAt < waitedMs;
+	// A caller may open a connection long before it sends a request on it. A first request that arrives within the time for which the
+	// connection had waited counts as sent with the connection.
+	const isSentWithConnection = ({openResponses, bytesReadAtResponseEnd, acceptedAt, waitedMs}: Connection): boolean =>
+		openResponses.size === 0 && bytesReadAtResponseEnd === undefined && now() - acceptedAt < waitedMs;
 
 	return {
-		accepted(socket, waitedMs) {
+		noteConnection(socket, waitedMs) {
 			connections.set(socket, {
-				open: new Set(), answeredAtBytes: undefined, acceptedAt: now(), waitedMs,
+				openResponses: new Set(), bytesReadAtResponseEnd: undefined, acceptedAt: now(), waitedMs,
 			});
 			socket.once('close', () => {
 				connections.delete(socket);
 			});
 		},
-		requested(res) {
+		noteRequest(res) {
 			const {socket} = res.req;
 			const connection = connections.get(socket);
-			if (connection && isWaiting(connection)) {
-				waits.set(res, connection.waitedMs);
+			if (connection && isSentWithConnection(connection)) {
+				waitedMsByResponse.set(res, connection.waitedMs);
 			}
 
-			connection?.open.add(res);
+			connection?.openResponses.add(res);
 			onceResponseClosed(res, () => {
 				if (connection) {
-					connection.open.delete(res);
-					connection.answeredAtBytes = socket.bytesRead;
+					connection.openResponses.delete(res);
+					connection.bytesReadAtResponseEnd = socket.bytesRead;
 				}
 			});
 		},
-		waitedMs: res => waits.get(res) ?? 0,
-		isLastOpen(res) {
-			const open = connections.get(res.req.socket)?.open;
-			return open === undefined || open.size === 0 || (open.size === 1 && open.has(res));
+		waitedMs: res => waitedMsByResponse.get(res) ?? 0,
+		isLastOpenResponse(res) {
+			const openResponses = connections.get(res.req.socket)?.openResponses;
+			return openResponses === undefined || openResponses.size === 0 || (openResponses.size === 1 && openResponses.has(res));
 		},
 		closeIdle() {
 			for (const [socket, connection] of connections) {
--- a/packages/entry/src/lib/host/create-request-counter.ts
+++ b/packages/entry/src/lib/host/create-request-counter.ts
@@ -1,27 +1,27 @@
 import {onceResponseClosed} from '../relaying/once-response-closed.js';
 import type {RequestCounter} from './request-counter.js';
 
-/** How often a host that stops looks whether all requests have ended, in ms. */
+/** The interval at which `untilNone` checks whether all requests have ended, in ms. */
 const pollMs = 50;
 
 /**
-Creates the count of open requests.
+Creates the counter of open requests, at 0.
 
 @param now Monotonic ms.
 */
 export const createRequestCounter = (now: () => number): RequestCounter => {
-	let open = 0;
+	let openCount = 0;
 	return {
 		add(res) {
-			open++;
+			openCount++;
 			onceResponseClosed(res, () => {
-				open--;
+				openCount--;
 			});
 		},
-		count: () => open,
+		count: () => openCount,
 		untilNone: async deadline => new Promise(resolve => {
 			const poll = setInterval(() => {
-				if (open === 0 || now() > deadline) {
+				if (openCount === 0 || now() > deadline) {
 					clearInterval(poll);
 					resolve();
 				}
--- a/packages/entry/src/lib/host/create-retry-limiter.ts
+++ b/packages/entry/src/lib/host/create-retry-limiter.ts
@@ -3,7 +3,7 @@
 import type {RetryLimiter} from './retry-limiter.js';
 
 /**
-Creates the limiter of repeats. The rule is `stepRetryWindow`.
+Creates the retry limiter of this host. `stepRetryWindow` decides, with a window of its own for each service.
 
 @param now Monotonic ms.
 */
--- a/packages/entry/src/lib/host/may-forward.ts
+++ b/packages/entry/src/lib/host/may-forward.ts
@@ -1,31 +1,32 @@
 import type {ShutdownPlan} from './shutdown-plan.js';
 
 type Inputs = {
-	/** Of the host, once it was told to stop. */
-	readonly stop: ShutdownPlan | undefined;
-	/** Of the request, in monotonic ms: the earlier of when its caller stops waiting and the end of its route's time. */
+	/** The plan of the host's shutdown; `undefined` while the host is not shutting down. */
+	readonly shutdownPlan: ShutdownPlan | undefined;
+	/** The deadline of the request: when its caller stops waiting, or when the time of its route ends, if that is earlier. In monotonic ms. */
 	readonly deadline: number;
 	/** Monotonic ms. */
 	readonly now: number;
 };
 
 /**
-Decides whether a request may still be sent to an endpoint. Pure.
+Decides whether a host may forward a request to an endpoint. Pure.
 
-| host | sent on |
+| state of the host | requests that it forwards |
 | --- | --- |
-| does not stop | every request |
-| stops, within `takeAllUntil` | every request |
-| stops, later | what must end by `answerBy` |
-| waits for open requests no longer | nothing |
+| not shutting down | all |
+| shutting down, before `forwardAllUntil` | all |
+| shutting down, after that and before `respondBy` | those with a deadline no later than `respondBy` |
+| shutting down, later, or once `isForwardingOver` | none |
 
-Once it is `false` for a request, it stays so. It decides on the request and not on the connection, because a request may come late
-in many ways: on a connection that was accepted before, with a slow body, after a wait for rights, or after a try elsewhere.
+Once the decision for a request is `false`, it stays `false`. The request is what counts, and not its connection, because a request can be
+late in many ways: sent on a connection that was accepted before, with a slow body, after a wait for rights, or after an attempt at another
+endpoint.
 */
-export const mayForward = ({stop, deadline, now}: Inputs): boolean => {
-	if (!stop) {
+export const mayForward = ({shutdownPlan, deadline, now}: Inputs): boolean => {
+	if (!shutdownPlan) {
 		return true;
 	}
 
-	return !stop.isOver && (now < stop.takeAllUntil || (now < stop.answerBy && deadline <= stop.answerBy));
+	return !shutdownPlan.isForwardingOver && (now < shutdownPlan.forwardAllUntil || (now < shutdownPlan.respondBy && deadline <= shutdownPlan.respondBy));
 };
--- a/packages/entry/src/lib/host/new-holder-name.ts
+++ b/packages/entry/src/lib/host/new-holder-name.ts
@@ -1,9 +1,9 @@
-/** Names are written in digits and letters. */
+/** The suffix of a name is written in digits and lower-case letters. */
 const radix = 36;
 
-/** How many random parts there are: two lives that begin in one millisecond still differ. */
+/** How many values the random part of a suffix has, so that two incarnations that start in the same millisecond differ. */
 const randomValues = radix ** 3;
 
-/** A new name for this life of a host, as a holder of rights: the host's name, `#`, and what differs after each start. */
+/** Returns a new name for an incarnation of a host, as a holder of rights: the host's name, `#`, and a suffix that differs after each start. */
 export const newHolderName = (host: string): string =>
 	`${host}#${Date.now().toString(radix)}${Math.floor(Math.random() * randomValues).toString(radix)}`;
--- a/packages/entry/src/lib/host/plan-shutdown.ts
+++ b/packages/entry/src/lib/host/plan-shutdown.ts
@@ -1,39 +1,48 @@
 import type {ShutdownPlan} from './shutdown-plan.js';
 
-/** After the signal to stop, new connections may still come for as long as the balancer takes to notice, in ms. */
+/**
+For how long after the signal to stop new connections are accepted, in ms: the load balancer takes some time to notice that the host is
+not ready.
+*/
 const lingerMs = 3000;
 
 /**
-Of the linger, what is left for a signal that is noticed late, in ms: the linger counts from the sending of the signal, and a
-stopping host hears of it later.
+How much earlier than the end of `lingerMs` the host ceases to forward every request, in ms. The linger counts from the sending of the
+signal, and the process may notice the signal later by as much.
 */
-const lateSignalMs = 250;
+const signalDelayMs = 250;
 
-/** Left of the time to stop for giving rights back, in ms. */
-const giveBackMs = 1000;
+/** The part of the grace time that is kept for the return of rights to the store, in ms. */
+const returnRightsMs = 1000;
 
-/** Left of the time to stop for the end of the process, in ms: the kill comes earlier by as much as the signal was noticed late. */
+/**
+The part of the grace time that is kept for the exit of the process, in ms. A signal that is noticed late leaves less time before the kill,
+and this part covers the difference.
+*/
 const exitMs = 200;
 
-/** Between the deadline of a request, or the moment when it is cut, and the end of its answer, in ms: for a late timer, and for the answer to be written. */
-const writeAnswerMs = 200;
+/**
+The time between the deadline or the cut of a request and the end of its response, in ms: for a timer that fires late, and for writing the
+response.
+*/
+const writeResponseMs = 200;
 
 /**
-Plans a stop. Pure.
+Plans the shutdown of a host. Pure.
 
-@param now When the signal was noticed, in monotonic ms.
-@param graceMs From the signal until the process is killed, in ms.
+@param now When the host noticed the signal to stop, in monotonic ms.
+@param graceMs The time from the signal until the platform kills the process, in ms.
 */
 export const planShutdown = (now: number, graceMs: number): ShutdownPlan => {
-	const endBy = now + graceMs - giveBackMs;
-	const answerBy = endBy - writeAnswerMs;
+	const waitForRequestsUntil = now + graceMs - returnRightsMs;
+	const respondBy = waitForRequestsUntil - writeResponseMs;
 	return {
-		takeAllUntil: Math.min(now + lingerMs - lateSignalMs, answerBy),
-		listenUntil: Math.min(now + lingerMs, endBy),
-		answerBy,
-		endBy,
-		cutBy: Math.max(endBy, now + graceMs - exitMs - writeAnswerMs),
-		closeBy: Math.max(endBy, now + graceMs - exitMs),
-		isOver: false,
+		forwardAllUntil: Math.min(now + lingerMs - signalDelayMs, respondBy),
+		listenUntil: Math.min(now + lingerMs, waitForRequestsUntil),
+		respondBy,
+		waitForRequestsUntil,
+		cutRequestsAt: Math.max(waitForRequestsUntil, now + graceMs - exitMs - writeResponseMs),
+		waitForFinalResponsesUntil: Math.max(waitForRequestsUntil, now + graceMs - exitMs),
+		isForwardingOver: false,
 	};
 };
--- a/packages/entry/src/lib/host/repeat-by-timer.ts
+++ b/packages/entry/src/lib/host/repeat-by-timer.ts
@@ -1,6 +1,6 @@
-/** Calls back again and again with the process's own timers, and keeps no process alive by it. Returns what ends it. */
-export const repeatByTimer = (pauseMs: number, callback: () => void): (() => void) => {
-	const timer = setInterval(callback, pauseMs);
+/** Calls `callback` every `intervalMs` by a timer that does not keep the process alive. Returns the function that stops the timer. */
+export const repeatByTimer = (intervalMs: number, callback: () => void): (() => void) => {
+	const timer = setInterval(callback, intervalMs);
 	timer.unref();
 	return () => {
 		clearInterval(timer);
--- a/packages/entry/src/lib/host/request-counter.ts
+++ b/packages/entry/src/lib/host/request-counter.ts
@@ -1,10 +1,11 @@
 import type {ServerResponse} from 'node:http';
 
-/** The requests of callers that are open at this host. */
+/** Counts the open requests of callers at this host. */
 export type RequestCounter = {
-	/** Counts a request until its answer ended or its connection closed. */
+	/** Counts a request as open until its response has ended or its connection has closed. */
 	readonly add: (res: ServerResponse) => void;
+	/** The number of open requests. */
 	readonly count: () => number;
-	/** Resolves once none is open, or at the deadline (monotonic ms). */
+	/** Resolves once no request is open, or after `deadline` (monotonic ms). */
 	readonly untilNone: (deadline: number) => Promise<void>;
 };
--- a/packages/entry/src/lib/host/run-shutdown.ts
+++ b/packages/entry/src/lib/host/run-shutdown.ts
@@ -7,33 +7,33 @@
 type Options = {
 	readonly servers: Pick<Servers, 'closeIdleConnections' | 'stopListening'>;
 	readonly rights: Pick<RightsManager, 'retire'>;
-	readonly open: Pick<RequestCounter, 'count' | 'untilNone'>;
-	readonly plan: Pick<ShutdownPlan, 'listenUntil' | 'endBy'>;
-	/** Waits until a monotonic time, in ms. */
+	readonly requestCounter: Pick<RequestCounter, 'count' | 'untilNone'>;
+	readonly plan: Pick<ShutdownPlan, 'listenUntil' | 'waitForRequestsUntil'>;
+	/** Waits until a time, in monotonic ms. */
 	readonly waitUntil: (time: number) => Promise<unknown>;
-	/** Sends no request on any more. */
-	readonly sendNoMore: () => void;
-	/** Gives the requests that are still open their final answers. */
-	readonly endRequests: () => Promise<void>;
+	/** Makes the host refuse every request that is not forwarded yet. */
+	readonly stopForwarding: () => void;
+	/** Ends the requests that are still open with final responses, and waits for these. */
+	readonly endOpenRequests: () => Promise<void>;
 	readonly log: Log;
 };
 
 /**
-Finishes what runs and gives rights back, before the process of a host that is no longer ready may end.
+Finishes open requests and returns rights to the store, before the process of a host that is shutting down may exit.
 
-Which requests are still sent on meanwhile is decided for each of them (`mayForward`). What is sent on is waited for. While the last
-rights go back, what is open may still end, and a request that comes is refused.
+`mayForward` decides for each request whether the host still forwards it; the host waits for forwarded requests until
+`waitForRequestsUntil`. While the host then returns its last rights, open requests may still end, and new requests are refused.
 */
-export const runShutdown = async ({servers, rights, open, plan, waitUntil, sendNoMore, endRequests, log}: Options): Promise<void> => {
-	log('stopping', {open: open.count()});
+export const runShutdown = async ({servers, rights, requestCounter, plan, waitUntil, stopForwarding, endOpenRequests, log}: Options): Promise<void> => {
+	log('stopping', {open: requestCounter.count()});
 	servers.closeIdleConnections();
 	await waitUntil(plan.listenUntil);
 	servers.stopListening();
 	await rights.retire();
-	await open.untilNone(plan.endBy);
-	sendNoMore();
-	// What open requests had reserved is free now, and goes back as well.
+	await requestCounter.untilNone(plan.waitForRequestsUntil);
+	stopForwarding();
+	// The rights that ended requests had reserved are free now, and are returned as well.
 	await rights.retire();
-	await endRequests();
-	log('stopped', {open: open.count()});
+	await endOpenRequests();
+	log('stopped', {open: requestCounter.count()});
 };
--- a/packages/entry/src/lib/host/servers.ts
+++ b/packages/entry/src/lib/host/servers.ts
@@ -1,12 +1,15 @@
 import type {CallerLimits} from '../../config/caller-limits.js';
 
-/** The two servers of a host: for callers, and for the balancer that asks whether it is ready. */
+/** The two HTTP servers of a host: one for callers, and one at which the load balancer asks whether the host is ready. */
 export type Servers = {
+	/** The addresses at which the servers listen, as `ip:port`. */
 	readonly addresses: {readonly callers: string; readonly ready: string};
-	readonly limit: (limits: CallerLimits) => void;
+	/** Applies the timeouts of the configuration to callers' connections. */
+	readonly setLimits: (limits: CallerLimits) => void;
+	/** Closes callers' connections without a request. */
 	readonly closeIdleConnections: () => void;
-	/** Takes no more connections of callers, and closes those without a request; the balancer is still answered. */
+	/** Accepts no more connections of callers, and closes those without a request. The load balancer still gets responses. */
 	readonly stopListening: () => void;
-	/** Ends at once, with all connections. */
+	/** Closes both servers and all their connections at once. */
 	readonly kill: () => void;
 };
--- a/packages/entry/src/lib/host/shutdown-plan.ts
+++ b/packages/entry/src/lib/host/shutdown-plan.ts
@@ -1,17 +1,17 @@
-/** When a host that was told to stop does what. All times are monotonic ms. */
+/** The phases of a host's shutdown. All times are in monotonic ms. */
 export type ShutdownPlan = {
-	/** Until then, every request is sent on. */
-	readonly takeAllUntil: number;
+	/** Until then, every request is forwarded. */
+	readonly forwardAllUntil: number;
 	/** Until then, new connections are accepted. */
 	readonly listenUntil: number;
-	/** A request that is sent on later has to end by then. */
-	readonly answerBy: number;
-	/** Until then, open requests are waited for before the last rights go back. */
-	readonly endBy: number;
-	/** What is still open then gets its final answer, also if rights have not gone back yet. */
-	readonly cutBy: number;
-	/** Until then, these answers are waited for. */
-	readonly closeBy: number;
-	/** Whether nothing is sent on any more: the last rights go back, and the process may end at any moment. */
-	readonly isOver: boolean;
+	/** A request that is forwarded after `forwardAllUntil` must have its deadline by then. */
+	readonly respondBy: number;
+	/** Until then, the host waits for open requests before it returns its last rights. */
+	readonly waitForRequestsUntil: number;
+	/** Requests that are still open then are ended with final responses, even if the rights are not returned yet. */
+	readonly cutRequestsAt: number;
+	/** Until then, the host waits for these final responses. */
+	readonly waitForFinalResponsesUntil: number;
+	/** Whether no request is forwarded any more: the host returns its last rights, and the process may exit at any moment. */
+	readonly isForwardingOver: boolean;
 };
--- a/packages/entry/src/lib/host/start-health-monitor.ts
+++ b/packages/entry/src/lib/host/start-health-monitor.ts
@@ -10,27 +10,27 @@
 
 type Options = {
 	readonly hall: string;
-	/** Whether a hall's endpoints are to get nothing. */
+	/** Whether a hall is evacuated, so that its endpoints get no requests. */
 	readonly isEvacuated: (hall: string) => boolean;
 	readonly bounds: Bounds;
 	readonly timeouts: Timeouts;
-	/** Requests open now. */
+	/** The number of requests that are open now. */
 	readonly open: () => number;
 	readonly log: Log;
 	/** Monotonic ms. */
 	readonly now: () => number;
 };
 
-/** What a host finds out about itself and about other halls. */
+/** The health of this host and of other halls, as this host sees it. */
 type HealthMonitor = {
 	readonly overload: OverloadMonitor;
 	readonly halls: HallMonitor;
-	/** Notes how long an endpoint took to accept a connection, in ms. */
+	/** Notes the time that a connection to an endpoint took, in ms. */
 	readonly noteConnect: (endpoint: ListedEndpoint, tookMs: number) => void;
 	readonly close: () => void;
 };
 
-/** Starts the watches of this host's own overload and of other halls. A host that is late judges no hall. */
+/** Starts the monitors of this host's own overload and of other halls. An overloaded host judges no hall. */
 export const startHealthMonitor = ({hall, isEvacuated, bounds, timeouts, open, log, now}: Options): HealthMonitor => {
 	const overload = startOverloadMonitor({
 		boundMs: bounds.relayMs, open, log, now,
@@ -42,7 +42,7 @@
 		overload,
 		halls,
 		noteConnect(endpoint, tookMs) {
-			// A connection to another hall takes longer when that hall is far or cut off, which says nothing of this host.
+			// A connection to another hall takes long where that hall is far or cut off, which tells nothing about the load of this host.
 			if (endpoint.hall === hall) {
 				overload.noteConnect(tookMs);
 			}
--- a/packages/entry/src/lib/host/start-peer-tasks.ts
+++ b/packages/entry/src/lib/host/start-peer-tasks.ts
@@ -25,7 +25,7 @@
 type Options = {
 	readonly host: string;
 	readonly hall: string;
-	/** The name of this life of the host. */
+	/** The name of this incarnation of the host, as a holder of rights. */
 	readonly holder: string;
 	/** Where peers reach this host, as `ip:port`. */
 	readonly address: string;
@@ -33,9 +33,9 @@
 	readonly directory: PeerDirectory;
 	readonly timeouts: Timeouts;
 	readonly log: Log;
-	/** Called when a link that carried nothing any more was replaced. */
+	/** Called when a link over which nothing arrived any more was replaced by a new one. */
 	readonly onLinkReplaced: () => void;
-	/** Called when the limit on the requests to an endpoint changed. */
+	/** Called when the limit on requests to an endpoint changed. */
 	readonly onLimitChanged: (endpoint: string) => void;
 	/** Monotonic ms. */
 	readonly now: () => number;
@@ -43,20 +43,23 @@
 	readonly elapsed: () => number;
 };
 
-/** What a host shares with its peers: rights on budgets, and what it sees of the store. */
+/** The parts of a host that exchange messages with its peers. */
 type PeerTasks = {
 	readonly rights: RightsManager;
 	readonly poison: PoisonDetector;
 	readonly limits: EndpointLimits;
 	readonly storeChanges: StoreChanges;
-	/** As of `PeerLinks`. */
+	/** As `hostNames` of `PeerLinks`. */
 	readonly hostNames: () => HostNames | undefined;
-	/** As of `PeerLinks`. */
+	/** As `register` of `PeerLinks`. */
 	readonly register: () => void;
 	readonly close: () => Promise<void>;
 };
 
-/** Puts together the tasks that talk to peers: the keeper of rights, loans, change notifications, and the links they use. */
+/**
+Creates the parts that exchange messages with peers (rights and loans, poison detection, limits of endpoints, change notifications), and the
+links that they use.
+*/
 export const startPeerTasks = ({host, hall, holder, address, rightsStore, directory, timeouts, log, onLinkReplaced, onLimitChanged, now, elapsed}: Options): PeerTasks => {
 	const loanClient = createLoanClient({
 		mesh: () => links.mesh(),
@@ -74,33 +77,33 @@
 	const rights = createRightsManager({
 		host, holder, store: rightsStore, loanClient, links: () => links, timeouts, log, now,
 	});
-	const askPeer = async <T>(asked: string, message: {readonly type: string}, schema: z.ZodType<T>): Promise<T | undefined> => {
-		const reply = await links.mesh()?.request(asked, message, timeouts.peerMs);
-		return reply?.ok ? readPeerReply(schema, reply.value, {address: asked, type: message.type}, log) : undefined;
+	const requestFromPeer = async <T>(peerAddress: string, message: {readonly type: string}, schema: z.ZodType<T>): Promise<T | undefined> => {
+		const reply = await links.mesh()?.request(peerAddress, message, timeouts.peerMs);
+		return reply?.ok ? readPeerReply(schema, reply.value, {address: peerAddress, type: message.type}, log) : undefined;
 	};
 
 	const poison = createPoisonDetector({
 		self: () => links.self(),
 		peers: () => links.others(),
-		ask: async ({address: asked}, question) => askPeer(asked, {type: 'suspicions', ...question}, suspicionsReplySchema),
+		ask: async ({address: peerAddress}, request) => requestFromPeer(peerAddress, {type: 'suspicions', ...request}, suspicionsReplySchema),
 		ends: createEndpointEnds(async endpoint => probeAddress(endpoint, timeouts.probeMs)),
 		every: repeatByTimer,
 		random: Math.random,
 		log,
 		now,
 	});
-	const permits = createEventCounter('permits', log);
+	const permitCounter = createEventCounter('permits', log);
 	const limits = createEndpointLimits({
 		self: () => links.self(),
 		others: () => links.others(),
 		isSettled: () => links.isPeerListKnown(),
-		askPermit: async (asked, question) => askPeer(asked, {type: 'permit', ...question}, permitReplySchema),
-		sendLimits: async (asked, message) => askPeer(asked, {type: 'limits', ...message}, limitsReplySchema),
+		askPermit: async (peerAddress, request) => requestFromPeer(peerAddress, {type: 'permit', ...request}, permitReplySchema),
+		sendLimits: async (peerAddress, message) => requestFromPeer(peerAddress, {type: 'limits', ...message}, limitsReplySchema),
 		noteHost(peer, how) {
 			links.noteHost(peer, how);
 		},
 		onChanged: onLimitChanged,
-		count: permits.increment,
+		count: permitCounter.increment,
 		log,
 		now,
 	});
--- a/packages/entry/src/lib/host/start-servers.ts
+++ b/packages/entry/src/lib/host/start-servers.ts
@@ -6,34 +6,38 @@
 import type {RequestCounter} from './request-counter.js';
 import type {Servers} from './servers.js';
 
-/** Heads of callers' requests are bounded here once, in bytes; the configuration's own bound is lower. */
+/** The limit on the size of the head of a caller's request, in bytes. The configuration has no limit of its own on it (`CallerLimits`). */
 const maxHeaderBytes = 65_536;
 
-/** Until a configuration says how long callers' idle connections are kept, in ms. */
-const firstKeepAliveMs = 15_000;
+/** For how long callers' idle connections are kept until a configuration sets `idleTimeoutMs`, in ms. */
+const initialKeepAliveMs = 15_000;
 
 type Options = {
+	/** The addresses at which the servers are to listen, as `ip:port`. */
 	readonly listen: {readonly callers: string; readonly ready: string};
-	readonly open: RequestCounter;
+	readonly requestCounter: RequestCounter;
 	readonly connections: CallerConnections;
-	/** Called with each connection of a caller. */
+	/** Called with each accepted connection of a caller. */
 	readonly onConnection: (socket: Socket) => void;
+	/** Serves a caller's request. */
 	readonly serve: (req: IncomingMessage, res: ServerResponse) => Promise<void>;
+	/** Whether the load balancer may send requests to this host. */
 	readonly isReady: () => boolean;
-	/** Whether a caller's connection is closed after this answer. */
+	/** Whether a caller's connection is to be closed after this response. */
 	readonly closesAfter: (res: ServerResponse) => boolean;
 };
 
-/** Starts both servers. */
-export const startServers = async ({listen, open, connections, onConnection, serve, isReady, closesAfter}: Options): Promise<Servers> => {
-	const callers = createServer({maxHeaderSize: maxHeaderBytes, keepAliveTimeout: firstKeepAliveMs, noDelay: true}, (req, res) => {
-		open.add(res);
-		connections.requested(res);
+/** Starts both servers, and resolves once they listen. */
+export const startServers = async ({listen, requestCounter, connections, onConnection, serve, isReady, closesAfter}: Options): Promise<Servers> => {
+	const callerServer = createServer({maxHeaderSize: maxHeaderBytes, keepAliveTimeout: initialKeepAliveMs, noDelay: true}, (req, res) => {
+		requestCounter.add(res);
+		connections.noteRequest(res);
 		if (closesAfter(res)) {
 			res.shouldKeepAlive = false;
 		}
 
-		// An answer whose head was sent before does not say that its connection closes; the next request would come on it.
+		// A head that was sent before the shutdown or overload began did not announce that the connection closes. The connection is closed here,
+		// or the caller would send its next request on it.
 		res.once('finish', () => {
 			if (closesAfter(res)) {
 				req.socket.destroySoon();
@@ -42,26 +46,27 @@
 
 		void serve(req, res);
 	});
-	callers.on('connection', onConnection);
-	const ready = createServer((_req, res) => {
+	callerServer.on('connection', onConnection);
+	const readinessServer = createServer((_req, res) => {
 		res.writeHead(isReady() ? httpStatus.ok : httpStatus.serviceUnavailable, {'content-length': 0});
 		res.end();
 	});
-	const [callersAddress, readyAddress] = await Promise.all([listenAt(callers, listen.callers), listenAt(ready, listen.ready)]);
+	const [callersAddress, readyAddress] = await Promise.all([listenAt(callerServer, listen.callers), listenAt(readinessServer, listen.ready)]);
 	return {
 		addresses: {callers: callersAddress, ready: readyAddress},
-		limit(limits) {
-			callers.keepAliveTimeout = limits.idleTimeoutMs;
-			callers.headersTimeout = limits.headerTimeoutMs;
+		setLimits(limits) {
+			callerServer.keepAliveTimeout = limits.idleTimeoutMs;
+			callerServer.headersTimeout = limits.headerTimeoutMs;
 		},
 		closeIdleConnections: connections.closeIdle,
 		stopListening() {
-			// Node's HTTP server would close what it counts as idle as well, with answers that their callers still read.
-			NetServer.prototype.close.call(callers);
+			// `close` of the HTTP server would also destroy the connections that Node.js counts as idle, among them those with responses that
+			// callers are still reading.
+			NetServer.prototype.close.call(callerServer);
 			connections.closeIdle();
 		},
 		kill() {
-			for (const server of [callers, ready]) {
+			for (const server of [callerServer, readinessServer]) {
 				server.closeAllConnections();
 				server.close();
 			}
--- a/packages/entry/src/start-entry-host.ts
+++ b/packages/entry/src/start-entry-host.ts
@@ -41,7 +41,7 @@
 	const {host, hall, listen, bounds, hasEvacuations = false, headers: headerNames, rightsStore, peers: directory, log} = options;
 	const {timeouts = defaultTimeouts, schedule = scheduleByTimer, now = monotonicMs, elapsed = now} = options;
 	const holder = newHolderName(host);
-	const open = createRequestCounter(now);
+	const requestCounter = createRequestCounter(now);
 	const pool = createConnectionPool(elapsed);
 	const peerTasks = startPeerTasks({
 		host, hall, holder, address: listen.peers, rightsStore, directory, timeouts, log, now, elapsed,
@@ -56,7 +56,7 @@
 	const {rights} = peerTasks;
 	let evacuatedHalls: ReadonlySet<string> | undefined = hasEvacuations ? undefined : new Set();
 	const health = startHealthMonitor({
-		hall, isEvacuated: name => evacuatedHalls?.has(name) ?? false, bounds, timeouts, open: open.count, log, now,
+		hall, isEvacuated: name => evacuatedHalls?.has(name) ?? false, bounds, timeouts, open: requestCounter.count, log, now,
 	});
 	const {overload, halls} = health;
 	let config: FleetConfig | undefined;
@@ -77,26 +77,26 @@
 			log('endpoints_listed', {count: used.length, leaving: used.filter(({isLeaving}) => isLeaving).length, unused});
 		},
 	});
-	let stop: ShutdownPlan | undefined;
+	let shutdownPlan: ShutdownPlan | undefined;
 	let stopped: Promise<void> | undefined;
 	const ending = new AbortController();
 	// Each open request listens to it; more than ten of them are no leak.
 	setMaxListeners(0, ending.signal);
 
 	// Callers whose connections are closed come back through the balancer, which sends them to hosts that are ready.
-	const isClosing = (): boolean => stop !== undefined || overload.isOverloaded();
+	const isClosing = (): boolean => shutdownPlan !== undefined || overload.isOverloaded();
 
 	const connections = createCallerConnections(now);
-	const acceptQueueMonitor = createAcceptQueueMonitor({isBusy: () => open.count() > 0, onMeasured: createWaitLog({open: open.count, log, now}), now});
-	const closesAfter = (res: ServerResponse): boolean => isClosing() && connections.isLastOpen(res);
+	const acceptQueueMonitor = createAcceptQueueMonitor({isBusy: () => requestCounter.count() > 0, onMeasured: createWaitLog({open: requestCounter.count, log, now}), now});
+	const closesAfter = (res: ServerResponse): boolean => isClosing() && connections.isLastOpenResponse(res);
 
 	// Nothing is sent before it is known which halls are to get nothing.
 	const services: HostContext = {
 		config: () => evacuatedHalls === undefined ? undefined : config,
 		closesAfter,
-		isStopping: () => stop !== undefined,
+		isStopping: () => shutdownPlan !== undefined,
 		shutdownSignal: ending.signal,
-		mayForward: deadline => mayForward({stop, deadline, now: now()}),
+		mayForward: deadline => mayForward({shutdownPlan, deadline, now: now()}),
 		isOverloaded: overload.isOverloaded,
 		isShedding: overload.isShedding,
 		waitedMs: connections.waitedMs,
@@ -117,11 +117,11 @@
 	};
 	const servers = await startServers({
 		listen,
-		open,
+		requestCounter,
 		connections,
 		onConnection(socket) {
 			acceptQueueMonitor.accepted(socket);
-			connections.accepted(socket, acceptQueueMonitor.waitedMs());
+			connections.noteConnection(socket, acceptQueueMonitor.waitedMs());
 		},
 		serve: async (req, res) => serveRequest(req, res, services),
 		isReady: () => config !== undefined && listing.isKnown() && evacuatedHalls !== undefined && !isClosing() && !acceptQueueMonitor.isQueueLong(),
@@ -131,26 +131,26 @@
 	log('started', {holder, hall});
 
 	const runStop = async (plan: ShutdownPlan): Promise<void> => {
-		stop = plan;
-		const cancelCut = schedule(plan.cutBy - now(), () => {
+		shutdownPlan = plan;
+		const cancelCut = schedule(plan.cutRequestsAt - now(), () => {
 			ending.abort();
 		});
 		await runShutdown({
 			servers,
 			rights,
-			open,
+			requestCounter,
 			plan,
 			log,
 			waitUntil: async time => new Promise<void>(resolve => {
 				schedule(time - now(), resolve);
 			}),
-			sendNoMore() {
-				stop = {...plan, isOver: true};
+			stopForwarding() {
+				shutdownPlan = {...plan, isForwardingOver: true};
 			},
-			async endRequests() {
+			async endOpenRequests() {
 				ending.abort();
-				if (open.count() > 0) {
-					await open.untilNone(plan.closeBy);
+				if (requestCounter.count() > 0) {
+					await requestCounter.untilNone(plan.waitForFinalResponsesUntil);
 				}
 			},
 		});
@@ -169,7 +169,7 @@
 			}
 
 			config = next;
-			servers.limit(next.limits);
+			servers.setLimits(next.limits);
 			rights.configure(next);
 			log('configured', {version: next.version, routes: next.routes.length, budgets: budgetsOf(next)});
 			listing.review();
--- a/packages/entry/src/test/create-accept-queue-monitor.test.ts
+++ b/packages/entry/src/test/create-accept-queue-monitor.test.ts
@@ -70,12 +70,12 @@
 	const waits: number[] = [];
 	const server = createServer((_req: IncomingMessage, res: ServerResponse) => {
 		time = readAt[waits.length]!;
-		connections.requested(res);
+		connections.noteRequest(res);
 		waits.push(connections.waitedMs(res));
 		res.end();
 	});
 	server.on('connection', (socket: Socket) => {
-		connections.accepted(socket, waitMs);
+		connections.noteConnection(socket, waitMs);
 	});
 	const address = await listenAt(server, '127.0.0.1:0');
 	const [host, port] = address.split(':');
--- a/packages/entry/src/test/run-shutdown.test.ts
+++ b/packages/entry/src/test/run-shutdown.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
 import {runShutdown} from '../lib/host/run-shutdown.js';
 
-// On a played day a caller's connection came 4.3 s after the signal to stop, while the host gave back its last rights. The request
-// was read and sent to an endpoint, and the process ended 2 ms later.
-test('a request that comes at any moment of a planned stop is finished, or never taken', async t => {
+// Guards against a shutdown that still listens while it returns its last rights. A caller's connection came 4.3 s after the signal to stop,
+// its request was forwarded to an endpoint, and the process exited 2 ms later.
+test('a request that comes at any moment of a shutdown is finished or never accepted', async t => {
 	let open = 0;
 	let taken = 0;
 	let isListening = true;
@@ -28,17 +28,17 @@
 				arrive();
 			},
 		},
-		open: {
+		requestCounter: {
 			count: () => open,
 			async untilNone() {
 				open = 0;
 				arrive();
 			},
 		},
-		plan: {listenUntil: 3000, endBy: 7000},
+		plan: {listenUntil: 3000, waitForRequestsUntil: 7000},
 		waitUntil: async () => undefined,
-		sendNoMore: () => undefined,
-		endRequests: async () => undefined,
+		stopForwarding: () => undefined,
+		endOpenRequests: async () => undefined,
 		log(event, fields) {
 			events.push(`${event} open=${String(fields?.open)}`);
 		},
@@ -48,7 +48,7 @@
 	t.deepEqual(events, ['stopping open=0', 'stopped open=0']);
 });
 
-test('nothing is sent on once the last rights go back, and what is still open ends after that', async t => {
+test('no request is forwarded once the last rights are returned, and open requests are ended after that', async t => {
 	const steps: string[] = [];
 	const step = (name: string) => async (): Promise<void> => {
 		steps.push(name);
@@ -57,20 +57,21 @@
 	await runShutdown({
 		servers: {closeIdleConnections: () => undefined, stopListening: () => undefined},
 		rights: {retire: step('retire')},
-		open: {count: () => 1, untilNone: step('wait')},
-		plan: {listenUntil: 3000, endBy: 7000},
+		requestCounter: {count: () => 1, untilNone: step('wait')},
+		plan: {listenUntil: 3000, waitForRequestsUntil: 7000},
 		waitUntil: step('linger'),
-		sendNoMore() {
+		stopForwarding() {
 			steps.push('send no more');
 		},
-		endRequests: step('end requests'),
+		endOpenRequests: step('end requests'),
 		log: () => undefined,
 	});
 	t.deepEqual(steps, ['linger', 'retire', 'wait', 'send no more', 'retire', 'end requests']);
 });
 
-// On another day a stream was still open 7 s after the signal; a request that came then was sent on and cut 0.1 s later.
-test('a request that comes after the linger is not taken, however long open streams last', async t => {
+// Guards against a shutdown that listens for as long as streams are open. A stream was still open 7 s after the signal to stop; a request that
+// came then was forwarded and cut 0.1 s later.
+test('a request that comes after the linger is not accepted, however long open streams last', async t => {
 	let isListening = true;
 	const steps: string[] = [];
 	const step = (name: string): void => {
@@ -89,18 +90,18 @@
 				step('retire');
 			},
 		},
-		open: {
+		requestCounter: {
 			count: () => 1,
 			async untilNone() {
 				step('wait');
 			},
 		},
-		plan: {listenUntil: 3000, endBy: 7000},
+		plan: {listenUntil: 3000, waitForRequestsUntil: 7000},
 		async waitUntil() {
 			step('linger');
 		},
-		sendNoMore: () => undefined,
-		endRequests: async () => undefined,
+		stopForwarding: () => undefined,
+		endOpenRequests: async () => undefined,
 		log: () => undefined,
 	});
 	t.deepEqual(steps, ['linger listening', 'retire closed', 'wait closed', 'retire closed']);
