--- a/packages/entry/src/test/stop-cuts-answers.test.ts
+++ b/packages/entry/src/test/stop-cuts-answers.test.ts
@@ -1,10 +1,11 @@
 /**
-The story. A host is told to stop while a caller still reads a long answer, or while a second request of the same connection is
-at an endpoint. Both were read, sent on, and answered or about to be; the stop itself closes their connection.
+Guards against a shutdown that cuts responses by closing their connections. It comes about in two ways.
 
-The evidence. Node counts a connection as idle once `end` of its answer was called, also while most of the answer still waits in
-the process for a caller that reads slowly; closing idle connections destroys it. And a connection is closed after the first answer
-that ends after the signal, also if later requests of it were sent on already.
+Node.js counts a connection as idle once `end` of its response was called, even while most of the response still waits in the process for a
+caller that reads slowly; closing idle connections destroys that connection.
+
+A shutdown that closes a connection after the first response that ends after the signal to stop cuts the responses to later requests of the
+same connection that are already forwarded to an endpoint.
 */
 import {once} from 'node:events';
 import {connect} from 'node:net';
@@ -16,10 +17,10 @@
 import {startEndpoint, type Answer} from './lib/start-endpoint.js';
 import {makeConfig, makeRoute, startHost} from './lib/start-host.js';
 
-/** More than the system's buffers between a host and a caller hold, in bytes. */
-const longAnswerBytes = 32 * 1024 * 1024;
+/** More than fits into the operating system's buffers between a host and a caller, in bytes. */
+const longResponseBytes = 32 * 1024 * 1024;
 
-/** When the host stops listening, in ms after the signal. */
+/** Right after the host stops listening, in ms after the signal to stop. */
 const listenMs = 3001;
 
 const started: Array<() => unknown> = [];
@@ -28,7 +29,8 @@
 	await Promise.all(started.map(async kill => kill()));
 });
 
-const launch = async (answer: Answer) => {
+/** Starts a host with one endpoint that responds by `answer`, and with a clock that the test advances. */
+const startHostWithEndpoint = async (answer: Answer) => {
 	const clock = createHandClock();
 	const host = await startHost(createMemoryRightsStore(), {schedule: clock.schedule, now: clock.now});
 	const endpoint = await startEndpoint('e', answer);
@@ -40,7 +42,7 @@
 	return {...host, clock, endpoint};
 };
 
-/** A caller that has sent a request, and reads its answer only when told to. */
+/** Sends a request as a caller that reads the response only when the test calls `readAll`. */
 const callSlowly = async (address: string) => {
 	const [host, port] = address.split(':');
 	const socket = connect(Number(port), host);
@@ -49,7 +51,7 @@
 	socket.pause();
 	socket.write(['POST /p HTTP/1.1', 'host: fleet', `${headerNames.requestId}: slow`, `${headerNames.apiKey}: key`, 'content-length: 0', '', ''].join('\r\n'));
 	return {
-		/** How many bytes of the body come before the connection ends, or the body is whole. */
+		/** Reads the response; returns how many bytes of the body came before the body was whole or the connection closed. */
 		async readAll(): Promise<number> {
 			return new Promise(resolve => {
 				let bytes = 0;
@@ -60,7 +62,7 @@
 					}
 
 					bytes += chunk.length;
-					if (bytes - headBytes === longAnswerBytes) {
+					if (bytes - headBytes === longResponseBytes) {
 						socket.destroy();
 					}
 				});
@@ -73,52 +75,52 @@
 	};
 };
 
-const answerLong: Answer = (_req, res) => {
-	res.end(new Uint8Array(longAnswerBytes));
+const sendLongResponse: Answer = (_req, res) => {
+	res.end(new Uint8Array(longResponseBytes));
 };
 
-test('an answer that its caller still reads when the host is told to stop comes whole', async t => {
-	const {callers, entry, clock, logged} = await launch(answerLong);
+test('a response that its caller is still reading when the shutdown begins arrives whole', async t => {
+	const {callers, entry, clock, logged} = await startHostWithEndpoint(sendLongResponse);
 	const caller = await callSlowly(callers);
 	await logged('request_answered');
 	const stopped = entry.stop();
 	const bytes = await caller.readAll();
 	clock.advance(listenMs);
 	await stopped;
-	t.is(bytes, longAnswerBytes);
+	t.is(bytes, longResponseBytes);
 });
 
-test('an answer that its caller still reads when a stopping host ceases to listen comes whole', async t => {
-	const {callers, entry, clock, logged} = await launch(answerLong);
+test('a response that its caller is still reading when the host stops listening arrives whole', async t => {
+	const {callers, entry, clock, logged} = await startHostWithEndpoint(sendLongResponse);
 	const stopped = entry.stop();
 	const caller = await callSlowly(callers);
 	await logged('request_answered');
 	clock.advance(listenMs);
 	const bytes = await caller.readAll();
 	await stopped;
-	t.is(bytes, longAnswerBytes);
+	t.is(bytes, longResponseBytes);
 });
 
-test('a long answer comes whole to a slow caller of a host that does not stop', async t => {
-	const {callers, logged} = await launch(answerLong);
+test('a long response arrives whole at a slow caller of a host that is not shutting down', async t => {
+	const {callers, logged} = await startHostWithEndpoint(sendLongResponse);
 	const caller = await callSlowly(callers);
 	await logged('request_answered');
-	t.is(await caller.readAll(), longAnswerBytes);
+	t.is(await caller.readAll(), longResponseBytes);
 });
 
-/** An endpoint's host whose caller has sent two requests on one connection; both are at the endpoint. */
-const launchWithTwo = async () => {
-	const answers = new Map<string, () => void>();
+/** Starts a host whose caller has sent two requests on one connection; both were forwarded to the endpoint, which responds when the test calls `respond`. */
+const startWithTwoRequests = async () => {
+	const respondById = new Map<string, () => void>();
 	let begin: () => void = () => undefined;
 	const bothBegun = new Promise<void>(resolve => {
 		begin = resolve;
 	});
-	const host = await launch((req, res) => {
+	const host = await startHostWithEndpoint((req, res) => {
 		const id = String(req.headers[headerNames.requestId]);
-		answers.set(id, () => {
+		respondById.set(id, () => {
 			res.end(`answer of ${id}`);
 		});
-		if (answers.size === 2) {
+		if (respondById.size === 2) {
 			begin();
 		}
 	});
@@ -127,36 +129,36 @@
 	caller.sendHead('second', ['content-length: 0']);
 	await bothBegun;
 	return {
-		...host, caller, answer(id: string) {
-			answers.get(id)!();
+		...host, caller, respond(id: string) {
+			respondById.get(id)!();
 		},
 	};
 };
 
-test('two requests of one connection are answered by a host that does not stop', async t => {
-	const {caller, answer} = await launchWithTwo();
-	answer('first');
+test('two requests of one connection get their responses from a host that is not shutting down', async t => {
+	const {caller, respond} = await startWithTwoRequests();
+	respond('first');
 	await caller.received(text => text.includes('answer of first'));
-	answer('second');
+	respond('second');
 	const text = await caller.received(all => all.includes('answer of second'));
 	t.true(text.includes('answer of second'));
 });
 
-test('a request that was sent on is answered, also if an earlier one of its connection is answered by a stopping host', async t => {
-	const {caller, answer, entry} = await launchWithTwo();
+test('a forwarded request gets its response, even if an earlier response on its connection ended during the shutdown', async t => {
+	const {caller, respond, entry} = await startWithTwoRequests();
 	void entry.stop();
-	answer('first');
+	respond('first');
 	await caller.received(text => text.includes('answer of first'));
-	answer('second');
+	respond('second');
 	const text = await caller.received(all => all.includes('answer of second'));
 	t.true(text.includes('answer of second'));
 });
 
-test('requests of one connection whose caller has left are open no longer', async t => {
-	const {caller, answer, entry, logged, events} = await launchWithTwo();
+test('no request stays open whose caller has closed the connection', async t => {
+	const {caller, respond, entry, logged, events} = await startWithTwoRequests();
 	caller.close();
 	await logged('request_left', ({id}) => id === 'first');
-	answer('second');
+	respond('second');
 	await Promise.race(['request_left', 'request_answered'].map(async event => logged(event, ({id}) => id === 'second')));
 	void entry.stop();
 	t.is(events.find(({event}) => event === 'stopping')?.fields.open, 0);
--- a/packages/entry/src/test/stopping-host.test.ts
+++ b/packages/entry/src/test/stopping-host.test.ts
@@ -1,14 +1,16 @@
 /**
-The story. All hosts of a hall were stopped in turn. One of them had been told to stop 4.04 s before when its last open request
-ended. 0.1 s later a request came to it, was sent to an endpoint, and was cut 12 ms after that by the end of the process.
+Guards against a host that forwards a request during its shutdown which it can't finish before its process exits.
 
-In the record that request took 6 ms from its caller to the endpoint. Requests on new connections took 10 ms or more there, and
-those on kept connections 4 to 5 ms: so it came on a connection that was open already, which no closed listener keeps out. Two such
-ways had been closed when these tests were written; which one it took is not proven.
+All hosts of a hall were stopped in turn. On one of them a request came 0.1 s after the last open request had ended, which was 4.04 s after
+the signal to stop. The host forwarded it to an endpoint, and 12 ms later the exit of the process cut it.
 
-The cause: a stop closed one door after the other (the listener, idle connections, connections after their answer), and nothing
-decided on the request itself. A connection that was accepted and sends its first request late, a request whose body or rights
-come late, and another try at another endpoint were none of these doors.
+By its timing, the request came on a connection that was open already: it took 6 ms from its caller to the endpoint, where requests on new
+connections took 10 ms or more, and those on kept connections 4 to 5 ms. A closed listener doesn't keep such a request out. Which of the ways
+below it took is not proven.
+
+The cause: a shutdown closed the listener, then idle connections, then connections after their responses, and nothing decided about the
+request itself. That left open a first request that is sent late on an accepted connection, a request whose body or rights come late, and
+an attempt at another endpoint.
 */
 import process from 'node:process';
 import test from 'ava';
@@ -21,13 +23,13 @@
 import {startEndpoint, type Answer} from './lib/start-endpoint.js';
 import {makeConfig, makeRoute, startHost} from './lib/start-host.js';
 
-/** Well after the linger, and well before the end of the stop, in ms after the signal. */
+/** Well after the linger and well before the end of the shutdown, in ms after the signal to stop. */
 const lateMs = 10_000;
 
-/** When the last rights go back, in ms after the signal. */
-const giveBackMs = 19_001;
+/** Right after the host begins to return its last rights, in ms after the signal to stop. */
+const returnRightsMs = 19_001;
 
-/** Right after the last requests are cut, and before the end of the stop, in ms after the signal. */
+/** Right after open requests are cut and before the end of the shutdown, in ms after the signal to stop. */
 const cutMs = 19_601;
 
 const started: Array<{kill: () => Promise<void>}> = [];
@@ -40,7 +42,7 @@
 	res.end('fine');
 };
 
-const hangUp: Answer = req => {
+const closeConnection: Answer = req => {
 	req.socket.destroy();
 };
 
@@ -54,7 +56,7 @@
 	res.end('broken');
 };
 
-/** A place where an endpoint or the store waits until the test lets it go on. */
+/** A gate at which an endpoint or the store waits until the test opens it. `begun` resolves once something waits at it. */
 const createGate = () => {
 	let begin: () => void = () => undefined;
 	let open: () => void = () => undefined;
@@ -74,13 +76,14 @@
 	};
 };
 
-const behind = ({pass}: ReturnType<typeof createGate>, answer: Answer): Answer => async (req, res) => {
+/** Responds by `answer` once the gate is open. */
+const afterGate = ({pass}: ReturnType<typeof createGate>, answer: Answer): Answer => async (req, res) => {
 	await pass();
 	answer(req, res);
 };
 
-/** A host with one endpoint for each answer, and a clock that the test moves on. */
-const launch = async (answers: readonly Answer[], {config = makeConfig(), store = createMemoryRightsStore()}: {config?: ReturnType<typeof makeConfig>; store?: RightsStore} = {}) => {
+/** Starts a host with one endpoint for each of `answers`, and with a clock that the test advances. */
+const startHostWithEndpoints = async (answers: readonly Answer[], {config = makeConfig(), store = createMemoryRightsStore()}: {config?: ReturnType<typeof makeConfig>; store?: RightsStore} = {}) => {
 	const clock = createHandClock();
 	const host = await startHost(store, {schedule: clock.schedule, now: clock.now});
 	started.push(host.entry);
@@ -100,20 +103,20 @@
 	};
 };
 
-/** Holds the answer of the request `open`, and answers others at once. */
+/** Holds the response to the request with the id `open` until the gate is open, and responds to others at once. */
 const holdOpen = (gate: ReturnType<typeof createGate>): Answer => (req, res) => {
-	(req.headers[headerNames.requestId] === 'open' ? behind(gate, ok) : ok)(req, res);
+	(req.headers[headerNames.requestId] === 'open' ? afterGate(gate, ok) : ok)(req, res);
 };
 
 const hasHead = (text: string): boolean => text.includes('\r\n\r\n');
 
-/** Whether an answer says that the request did not run, and that another host takes it at once. */
+/** Whether a response says that the request did not run and may be retried within a second, at another host. */
 const isRefusedForNow = (text: string): boolean => text.startsWith('HTTP/1.1 503') && /retry-after: 0\.\d/i.test(text);
 
-test('a request that comes late on an open connection of a stopping host is refused, and not sent on', async t => {
+test('a request that comes late on an open connection of a host that is shutting down is refused and not forwarded', async t => {
 	const gate = createGate();
-	const {callers, entry, clock, seen} = await launch([holdOpen(gate)]);
-	// These are accepted before the signal, and send nothing until late.
+	const {callers, entry, clock, seen} = await startHostWithEndpoints([holdOpen(gate)]);
+	// Both connections are accepted before the signal, and their callers send nothing until late.
 	const late = await openCaller(callers);
 	const last = await openCaller(callers);
 	const open = callHost(callers, {headers: {[headerNames.requestId]: 'open'}});
@@ -121,20 +124,20 @@
 	const stopped = entry.stop();
 	clock.advance(lateMs);
 	late.sendHead('late', ['content-length: 0']);
-	const lateAnswer = await late.received(hasHead);
+	const lateResponse = await late.received(hasHead);
 	gate.open();
-	const openAnswer = await open;
+	const openResponse = await open;
 	await stopped;
-	// The process has not ended yet; nothing is waited for any more, however soon it must end.
+	// The process has not exited yet, but it waits for no request any more, however early the deadline of the request.
 	last.sendHead('last', ['content-length: 0', `${headerNames.deadline}: 1000`]);
-	const lastAnswer = await last.received(hasHead);
-	t.true(openAnswer.isWhole);
+	const lastResponse = await last.received(hasHead);
+	t.true(openResponse.isWhole);
 	t.deepEqual(seen(), ['open']);
-	t.true(isRefusedForNow(lateAnswer));
-	t.true(isRefusedForNow(lastAnswer));
+	t.true(isRefusedForNow(lateResponse));
+	t.true(isRefusedForNow(lastResponse));
 });
 
-test('a request whose body or rights come late to a stopping host is refused, and not sent on', async t => {
+test('a request whose body or rights come late to a host that is shutting down is refused and not forwarded', async t => {
 	const gate = createGate();
 	const memory = createMemoryRightsStore();
 	const store: RightsStore = {
@@ -144,7 +147,7 @@
 			return memory.write(...inputs);
 		},
 	};
-	const {callers, entry, clock, seen} = await launch([ok], {store, config: makeConfig({}, 100_000)});
+	const {callers, entry, clock, seen} = await startHostWithEndpoints([ok], {store, config: makeConfig({}, 100_000)});
 	const slow = await openCaller(callers);
 	slow.sendHead('slow body', ['content-length: 4']);
 	slow.send('ab');
@@ -154,20 +157,20 @@
 	clock.advance(lateMs);
 	gate.open();
 	slow.send('cd');
-	const [slowAnswer, waitingAnswer] = await Promise.all([slow.received(hasHead), waiting]);
+	const [slowResponse, waitingResponse] = await Promise.all([slow.received(hasHead), waiting]);
 	await stopped;
 	t.deepEqual(seen(), []);
-	t.true(isRefusedForNow(slowAnswer));
-	t.is(waitingAnswer.status, 503);
-	t.truthy(waitingAnswer.headers['retry-after']);
+	t.true(isRefusedForNow(slowResponse));
+	t.is(waitingResponse.status, 503);
+	t.truthy(waitingResponse.headers['retry-after']);
 	const [stored] = [...memory.objects.values()];
 	t.deepEqual(Object.values(stored!.rights.budgets.org!.holders).map(({granted}) => granted), [0]);
 });
 
-test('a stopping host makes no late try at another endpoint, and promises nothing of a run that was lost', async t => {
-	const tryLate = async (answer: Answer) => {
+test('a host that is shutting down makes no late attempt at another endpoint, and does not say that a lost run did not run', async t => {
+	const endAttemptLate = async (answer: Answer) => {
 		const gate = createGate();
-		const {callers, entry, clock, seen} = await launch([behind(gate, answer), behind(gate, answer)], {config: makeConfig({routes: [makeRoute({maxAttempts: 2})]})});
+		const {callers, entry, clock, seen} = await startHostWithEndpoints([afterGate(gate, answer), afterGate(gate, answer)], {config: makeConfig({routes: [makeRoute({maxAttempts: 2})]})});
 		const call = callHost(callers);
 		await gate.begun;
 		const stopped = entry.stop();
@@ -178,58 +181,58 @@
 		return {status, runs: seen().length};
 	};
 
-	t.deepEqual(await tryLate(refuseToRun), {status: 503, runs: 1});
-	t.deepEqual(await tryLate(hangUp), {status: 502, runs: 1});
-	// The endpoint's own answer is better than none.
-	t.deepEqual(await tryLate(fail), {status: 500, runs: 1});
+	t.deepEqual(await endAttemptLate(refuseToRun), {status: 503, runs: 1});
+	t.deepEqual(await endAttemptLate(closeConnection), {status: 502, runs: 1});
+	// The caller gets the endpoint's own error response, which tells more than a refusal by the host.
+	t.deepEqual(await endAttemptLate(fail), {status: 500, runs: 1});
 });
 
-test('a request that must end before the stop does is served, however late it comes', async t => {
+test('a late request whose deadline comes before the end of the shutdown is served', async t => {
 	const gate = createGate();
-	const {callers, entry, clock, seen} = await launch([holdOpen(gate)]);
+	const {callers, entry, clock, seen} = await startHostWithEndpoints([holdOpen(gate)]);
 	const late = await openCaller(callers);
 	const open = callHost(callers, {headers: {[headerNames.requestId]: 'open'}});
 	await gate.begun;
 	const stopped = entry.stop();
 	clock.advance(lateMs);
 	late.sendHead('short', ['content-length: 0', `${headerNames.deadline}: 1000`]);
-	const lateAnswer = await late.received(hasHead);
+	const lateResponse = await late.received(hasHead);
 	gate.open();
 	await open;
 	await stopped;
-	t.true(lateAnswer.startsWith('HTTP/1.1 200'));
+	t.true(lateResponse.startsWith('HTTP/1.1 200'));
 	t.deepEqual(seen(), ['open', 'short']);
 });
 
-test('an answer that ends while the last rights go back is whole', async t => {
+test('a response that ends while the host returns its last rights is whole', async t => {
 	const gate = createGate();
-	const {callers, entry, clock} = await launch([behind(gate, ok)]);
+	const {callers, entry, clock} = await startHostWithEndpoints([afterGate(gate, ok)]);
 	const call = callHost(callers);
 	await gate.begun;
 	const stopped = entry.stop();
-	clock.advance(giveBackMs);
+	clock.advance(returnRightsMs);
 	gate.open();
 	const {status, isWhole} = await call;
 	await stopped;
 	t.deepEqual([status, isWhole], [200, true]);
 });
 
-test('what is open shortly before the end of a stop gets its final answer before the process may end', async t => {
+test('a request that is open shortly before the end of a shutdown gets its final response before the process may exit', async t => {
 	const gate = createGate();
-	const {callers, entry, clock} = await launch([behind(gate, ok)]);
+	const {callers, entry, clock} = await startHostWithEndpoints([afterGate(gate, ok)]);
 	const call = callHost(callers);
 	await gate.begun;
 	const stopped = entry.stop();
 	clock.advance(cutMs);
 	await stopped;
-	// As the end of the process does.
+	// `kill` closes all connections, as the exit of the process does.
 	await entry.kill();
 	const {status, isWhole} = await call;
 	gate.open();
 	t.deepEqual([status, isWhole], [504, true]);
 });
 
-test('the same holds while the store does not answer', async t => {
+test('a request that is open shortly before the end of a shutdown gets its final response even while the store does not answer', async t => {
 	const gate = createGate();
 	const memory = createMemoryRightsStore();
 	const storeGate = createGate();
@@ -244,7 +247,7 @@
 			return memory.write(...inputs);
 		},
 	};
-	const {callers, entry, clock} = await launch([behind(gate, ok)], {store, config: makeConfig({}, 100_000)});
+	const {callers, entry, clock} = await startHostWithEndpoints([afterGate(gate, ok)], {store, config: makeConfig({}, 100_000)});
 	const call = callHost(callers, {headers: {[headerNames.tokenCount]: '100,20'}});
 	await gate.begun;
 	isSilent = true;
@@ -257,8 +260,8 @@
 	t.deepEqual([status, isWhole], [504, true]);
 });
 
-test('a stream that is open shortly before the end of a stop does not look whole', async t => {
-	const {callers, entry, clock, events} = await launch([(_req, res) => {
+test('a stream that is open shortly before the end of a shutdown does not look whole', async t => {
+	const {callers, entry, clock, events} = await startHostWithEndpoints([(_req, res) => {
 		res.writeHead(200, {'content-type': 'text/event-stream'});
 		res.write('id: 1\ndata: piece 1\n\n');
 	}], {config: makeConfig({routes: [makeRoute({kind: 'stream'})]})});
@@ -269,36 +272,37 @@
 	clock.advance(cutMs);
 	await stopped;
 	await entry.kill();
-	const answer = await caller.received();
-	t.true(answer.includes('piece 1'));
-	t.false(answer.endsWith('0\r\n\r\n'));
+	const response = await caller.received();
+	t.true(response.includes('piece 1'));
+	t.false(response.endsWith('0\r\n\r\n'));
 	t.true(events.some(({event}) => event === 'request_refused'));
 });
 
-test('a second call to stop waits for the first, and starts nothing anew', async t => {
-	const {entry, clock, events} = await launch([ok]);
+test('a second call to stop waits for the first, and starts no second shutdown', async t => {
+	const {entry, clock, events} = await startHostWithEndpoints([ok]);
 	const stops = [entry.stop(), entry.stop()];
 	clock.advance(lateMs);
 	await Promise.all(stops);
 	t.deepEqual(events.map(({event}) => event).filter(event => event === 'stopping' || event === 'stopped'), ['stopping', 'stopped']);
 });
 
-// The first form of the end of a stop warned of a leak as soon as eleven requests were open at a host.
-test.serial('many open requests bring no warning of a leak', async t => {
+// Guards against the warning of a listener leak by Node.js: each open request listens to the signal that ends requests at the end of a
+// shutdown, and from eleven listeners on Node.js warns.
+test.serial('many open requests cause no warning of a listener leak', async t => {
 	const many = 20;
 	const warnings: string[] = [];
-	const note = ({name}: Error): void => {
+	const noteWarning = ({name}: Error): void => {
 		warnings.push(name);
 	};
 
-	process.on('warning', note);
+	process.on('warning', noteWarning);
 	const gate = createGate();
 	let allBegun: () => void = () => undefined;
 	const begun = new Promise<void>(resolve => {
 		allBegun = resolve;
 	});
 	let open = 0;
-	const {callers} = await launch([async (req, res) => {
+	const {callers} = await startHostWithEndpoints([async (req, res) => {
 		open++;
 		if (open === many) {
 			allBegun();
@@ -311,6 +315,6 @@
 	await begun;
 	gate.open();
 	await Promise.all(calls);
-	process.off('warning', note);
+	process.off('warning', noteWarning);
 	t.deepEqual(warnings, []);
 });
