--- a/packages/entry/src/test/hand-back.test.ts
+++ b/packages/entry/src/test/hand-back.test.ts
@@ -11,7 +11,7 @@
 import test from 'ava';
 import {available} from '@deckwheel/ledger';
 import {createBorrower} from '../lib/lending/create-borrower.js';
-import {createPeerAnswerer} from '../lib/peers/create-peer-answerer.js';
+import {createPeerRequestHandler} from '../lib/peers/create-peer-request-handler.js';
 import {createAccounts} from '../lib/rights/create-accounts.js';
 
 const budget = 'org';
@@ -20,7 +20,7 @@
 
 const startAnswerer = () => {
 	const takenTotals: number[] = [];
-	const replyTo = createPeerAnswerer({
+	const replyTo = createPeerRequestHandler({
 		holder: 'edge-1#b',
 		log: () => undefined,
 		lend: async () => ({total: 0, reachesStore: true}),
