--- a/packages/core/src/clock.ts
+++ b/packages/core/src/clock.ts
@@ -1,8 +1,8 @@
 /**
-The clocks that a task is given.
+The clocks that a task reads.
 
-Both return milliseconds. `wall` is compared with deadlines that cross hosts;
-`monotonic` orders events and expires things inside one process.
+Both return milliseconds. `wall`, the time of day since the Unix epoch, is for deadlines that are passed between hosts.
+`monotonic` is for the order of events and for timeouts inside one process.
 */
 export type Clock = {
 	readonly wall: () => number;
--- a/packages/core/src/create-elapsed-clock.ts
+++ b/packages/core/src/create-elapsed-clock.ts
@@ -1,25 +1,30 @@
 import type {Clock} from './clock.js';
 
-/** What the time of day gains on the steady clock at once counts as a suspension from here on, in ms: more than clocks are adjusted by between two looks. */
-const leastSuspensionMs = 250;
+/**
+Gain of the wall clock on the monotonic clock between two readings from which the gain counts as a suspension, in ms. Usual
+adjustments of a wall clock between two readings are smaller.
+*/
+const minSuspensionMs = 250;
 
 /**
-Creates a clock of elapsed time, in ms, that counts the time for which the machine was suspended; the steady clock does not.
+Creates a clock of elapsed time, in ms, that includes the time for which the machine was suspended. The monotonic clock leaves
+that time out.
 
-It is for what grows old: words of others, and kept connections. A time of day that is set forward counts as a suspension too, so
-such things may grow old too early, and never too late; deadlines of requests do not belong here.
+The elapsed clock is for ages: of data received from other hosts, and of idle connections. A wall clock that is set forward also
+counts as a suspension, so data and connections may expire too early, but never too late. Deadlines of requests must not use the
+elapsed clock.
 */
 export const createElapsedClock = ({wall, monotonic}: Clock): (() => number) => {
 	let suspendedMs = 0;
-	let aheadMs = wall() - monotonic();
+	let wallOffsetMs = wall() - monotonic();
 	return () => {
-		const steady = monotonic();
-		const nowAheadMs = wall() - steady;
-		if (nowAheadMs - aheadMs >= leastSuspensionMs) {
-			suspendedMs += nowAheadMs - aheadMs;
+		const monotonicMs = monotonic();
+		const currentWallOffsetMs = wall() - monotonicMs;
+		if (currentWallOffsetMs - wallOffsetMs >= minSuspensionMs) {
+			suspendedMs += currentWallOffsetMs - wallOffsetMs;
 		}
 
-		aheadMs = nowAheadMs;
-		return steady + suspendedMs;
+		wallOffsetMs = currentWallOffsetMs;
+		return monotonicMs + suspendedMs;
 	};
 };
--- a/packages/core/src/fail.ts
+++ b/packages/core/src/fail.ts
@@ -1,4 +1,4 @@
 import type {Failed} from './failed.js';
 
-/** Wraps an expected error as a failed outcome. */
+/** Wraps an expected error as a failed result. */
 export const fail = <E>(error: E): Failed<E> => ({ok: false, error});
--- a/packages/core/src/find-validation-issues.ts
+++ b/packages/core/src/find-validation-issues.ts
@@ -1,10 +1,10 @@
 import type {ValidationIssue} from './validation-issue.js';
 
-/** What a zod error tells, as far as it is read here. */
+/** The part of a zod error that `findValidationIssues` reads. */
 type SchemaError = {
 	readonly issues: ReadonlyArray<{readonly path: readonly PropertyKey[]; readonly message: string}>;
 };
 
-/** All faults that a schema found, each named by its path. */
+/** Converts a zod error to a list of all its validation issues. The path of an issue with the whole document is `(document)`. */
 export const findValidationIssues = ({issues}: SchemaError): readonly ValidationIssue[] =>
 	issues.map(({path, message}) => ({path: path.length === 0 ? '(document)' : path.join('.'), message}));
--- a/packages/core/src/first-by-rendezvous.ts
+++ b/packages/core/src/first-by-rendezvous.ts
@@ -1,7 +1,7 @@
 import {rendezvousWeight} from './lib/rendezvous-weight.js';
 
 /**
-The first of `rankByRendezvous`, without ordering the rest. `undefined` without members.
+Finds the member that `rankByRendezvous` lists first, without sorting the others. Returns `undefined` for an empty list.
 
 @example
 firstByRendezvous('budget-7', ['host-a', 'host-b']);
--- a/packages/core/src/hash32.ts
+++ b/packages/core/src/hash32.ts
@@ -2,5 +2,5 @@
 
 const hasher = await xxhash();
 
-/** A 32-bit hash of a string (xxHash32). The same on every host and in every version: slots depend on it. */
+/** Hashes a string to 32 bits (xxHash32). The hash must be the same on every host and in every version, because it assigns budgets to slots. */
 export const hash32 = (text: string): number => hasher.h32(text);
--- a/packages/core/src/http-status.ts
+++ b/packages/core/src/http-status.ts
@@ -1,4 +1,4 @@
-/** The HTTP statuses that the programs send or tell apart, by their names in RFC 9110. */
+/** The HTTP statuses that the programs send or handle specially, by their names in RFC 9110. */
 export const httpStatus = {
 	ok: 200,
 	created: 201,
--- a/packages/core/src/invariant-error.ts
+++ b/packages/core/src/invariant-error.ts
@@ -1,4 +1,4 @@
 import ModernError from 'modern-errors';
 
-/** A broken invariant: a fault in deckwheel itself. The process must stop. */
+/** The error of a broken invariant: a bug in deckwheel itself. The process must stop. */
 export const InvariantError = ModernError.subclass('InvariantError');
--- a/packages/core/src/prefix-blocks.ts
+++ b/packages/core/src/prefix-blocks.ts
@@ -1,10 +1,10 @@
 import {hash32} from './hash32.js';
 
-/** Characters of a prompt that make one block of a prefix cache. */
-const blockChars = 64;
+/** Size of one block of a prefix cache, in characters of the prompt (UTF-16 code units). */
+const charsPerBlock = 64;
 
-/** Hashes of a prompt's prefixes, one for each whole block, shortest first. Engines announce what they cache by these. */
+/** Hashes a prompt's prefixes, one for each whole block, shortest first. Engines report by these hashes which prefixes they have cached. */
 export const prefixBlocks = (prompt: string): readonly number[] => {
-	const count = Math.floor(prompt.length / blockChars);
-	return Array.from({length: count}, (_, index) => hash32(prompt.slice(0, (index + 1) * blockChars)));
+	const blockCount = Math.floor(prompt.length / charsPerBlock);
+	return Array.from({length: blockCount}, (_, index) => hash32(prompt.slice(0, (index + 1) * charsPerBlock)));
 };
--- a/packages/core/src/rank-by-rendezvous.ts
+++ b/packages/core/src/rank-by-rendezvous.ts
@@ -1,9 +1,9 @@
 import {rendezvousWeight} from './lib/rendezvous-weight.js';
 
 /**
-Orders members for a key by rendezvous (highest random weight) hashing, best first.
+Orders members for a key by rendezvous (highest random weight) hashing, highest weight first.
 
-When one member goes, only the keys that it was first for move.
+When a member is removed, only the keys whose first member it was get another first member.
 
 @example
 rankByRendezvous('budget-7', ['host-a', 'host-b'])[0];
--- a/packages/core/src/refusal-body.ts
+++ b/packages/core/src/refusal-body.ts
@@ -1,6 +1,6 @@
 import type {Refusal} from './refusal.js';
 
-/** A refusal as callers see it. */
+/** The JSON body of the response that refuses a request. */
 type RefusalBody = {
 	readonly error: {
 		readonly code: string;
@@ -10,7 +10,7 @@
 	};
 };
 
-/** Translates a refusal for callers. The body is the same from every program. */
+/** Converts a refusal to the body of its HTTP response. Every program sends the same form of body. */
 export const refusalBody = ({code, message, ran, retryAfterSeconds}: Refusal<string>): RefusalBody => ({
 	error: {
 		code, message, ran, retry_after_seconds: retryAfterSeconds,
--- a/packages/core/src/refusal-code.ts
+++ b/packages/core/src/refusal-code.ts
@@ -1,4 +1,4 @@
-/** The stable codes of errors that callers see. */
+/** The codes of refusals in responses to callers. Callers rely on the codes, so a code never changes. */
 export type RefusalCode =
 	| 'bad_request'
 	| 'unauthorized'
--- a/packages/core/src/refusal.ts
+++ b/packages/core/src/refusal.ts
@@ -2,16 +2,17 @@
 import type {RunState} from './run-state.js';
 
 /**
-A final answer that is not the caller's result.
+The reason why a request ends without the result that its caller asked for.
 
-`deckwheeld` refuses with `RefusalCode`; the entry host on a platform has a list of its own, since the platform sets other
-HTTP statuses for the same reasons.
+`deckwheeld` refuses with a `RefusalCode`. The entry host on a platform has its own list of codes, because the platform
+requires other HTTP statuses for the same reasons.
 */
 export type Refusal<Code extends string = RefusalCode> = {
-	/** Stable, for programs. */
+	/** The reason, as a stable code for the caller's program. */
 	readonly code: Code;
+	/** The reason, as a sentence for the caller's engineers. */
 	readonly message: string;
 	readonly ran: RunState;
-	/** When the caller should come back, as seconds from now; absent when coming back cannot help. */
+	/** The time after which the caller should retry, in seconds from now; absent if a retry cannot help. */
 	readonly retryAfterSeconds?: number;
 };
--- a/packages/core/src/result.ts
+++ b/packages/core/src/result.ts
@@ -2,7 +2,7 @@
 import type {Ok} from './ok.js';
 
 /**
-The outcome of an operation that may fail in expected ways.
+The result of an operation that may fail in expected ways.
 
 Expected failures are values. Exceptions are reserved for broken invariants.
 */
