--- a/packages/host-kit/src/create-event-counter.ts
+++ b/packages/host-kit/src/create-event-counter.ts
@@ -1,13 +1,17 @@
 import type {LogFields} from './log-fields.js';
 import type {EventCounter} from './event-counter.js';
 
-/** How often the counts are logged, in ms: often enough to see when something began, seldom enough to cost little. */
-const reportMs = 10_000;
+/**
+Interval between two log lines of counts, in ms. The interval is short enough to show when a fault began, and long enough for the
+log lines to cost little.
+*/
+const reportIntervalMs = 10_000;
 
 /**
-Creates an event counter. It is logged as one line every ten seconds in which something was counted, and begins anew then.
+Creates an event counter. Every ten seconds, the counter logs its counts as one line and resets them. With nothing counted, the
+counter logs no line.
 
-@param event The name of the line.
+@param event The event of the log line.
 */
 export const createEventCounter = (event: string, log: (event: string, fields: LogFields) => void): EventCounter => {
 	let counts: Record<string, number> = {};
@@ -16,7 +20,7 @@
 			log(event, counts);
 			counts = {};
 		}
-	}, reportMs);
+	}, reportIntervalMs);
 	timer.unref();
 
 	return {
--- a/packages/host-kit/src/create-line-log.ts
+++ b/packages/host-kit/src/create-line-log.ts
@@ -3,29 +3,32 @@
 import type {LogFields} from './log-fields.js';
 
 /**
-Lines that wait unwritten beyond this are dropped and counted, in bytes: a reader that has stopped must not fill the
-memory of a small host.
+Maximum size of log lines that standard output has not yet written, in bytes. Further lines are dropped and counted, so that a
+stalled reader of the log does not fill the memory of a small host.
 */
 const maxPendingBytes = 256 * 1024;
 
 /**
-Creates the log of an entry host on a platform: one line an event on standard output, never waited for.
+Creates the log of an entry host on a platform. The log writes each event as one line to standard output and does not await the
+write.
 
-`deckwheeld` logs by winston (`daemon/src/lib/create-log.ts`) with the same form of lines. On a platform's small hosts
-winston is left out for the time and memory that a start costs: docs/design/on-the-platform.md.
+`deckwheeld` logs with winston (`daemon/src/lib/process/create-log.ts`) in the same line format. The small hosts of a platform do
+without winston, because loading winston costs time and memory at start: docs/design/on-the-platform.md.
+
+@param host The id of the host, which every line names.
 */
 export const createLineLog = (host: string): (event: string, fields?: LogFields) => void => {
-	let dropped = 0;
+	let droppedLines = 0;
 	return (event, fields = {}) => {
 		if (process.stdout.writableLength > maxPendingBytes) {
-			dropped++;
+			droppedLines++;
 			return;
 		}
 
 		const line = hostLogLine({
-			time: new Date().toISOString(), host, event, fields, dropped,
+			time: new Date().toISOString(), host, event, fields, dropped: droppedLines,
 		});
-		dropped = 0;
+		droppedLines = 0;
 		process.stdout.write(`${line}\n`);
 	};
 };
--- a/packages/host-kit/src/format-log-line.ts
+++ b/packages/host-kit/src/format-log-line.ts
@@ -1,14 +1,14 @@
 import type {LogFields} from './log-fields.js';
 
-// Plain values stay as they are, so that a line can be searched by `key=value`; all others are quoted as JSON.
-const quote = (value: string | number | boolean): string => {
+// Plain values are not quoted, so that log lines can be searched for `key=value`. All other values are quoted as JSON strings.
+const formatValue = (value: string | number | boolean): string => {
 	const text = String(value);
 	return /^[\w.:/#~@+-]+$/.test(text) ? text : JSON.stringify(text);
 };
 
-/** Writes fields as one line of key=value pairs, without those that are `undefined`. */
+/** Formats fields as one line of `key=value` pairs. Fields that are `undefined` are left out. */
 export const formatLogLine = (fields: LogFields): string =>
 	Object.entries(fields)
 		.filter(([, value]) => value !== undefined)
-		.map(([key, value]) => `${key}=${quote(value!)}`)
+		.map(([key, value]) => `${key}=${formatValue(value!)}`)
 		.join(' ');
--- a/packages/host-kit/src/listen-at.ts
+++ b/packages/host-kit/src/listen-at.ts
@@ -4,9 +4,10 @@
 import {splitAddress} from '@deckwheel/core';
 
 /**
-Listens at an `ip:port`.
+Makes a server listen on an `ip:port`. With port 0, the operating system picks a free port.
 
-@returns The address taken: with port 0, the system picks a free one.
+@returns The address that the server listens on, with the actual port.
+@throws The error of the server if it cannot listen on the address.
 */
 export const listenAt = async (server: Server, address: string): Promise<string> => {
 	const {host, port} = splitAddress(address);
--- a/packages/host-kit/src/probe-address.ts
+++ b/packages/host-kit/src/probe-address.ts
@@ -2,23 +2,27 @@
 import {splitAddress} from '@deckwheel/core';
 import type {ProbeResult} from './probe-result.js';
 
-/** Tries a connection to an `ip:port`, and closes it at once. A reset counts as silence: a crowded endpoint resets as well. */
+/**
+Opens a TCP connection to an `ip:port` and closes it at once. Of the errors, only a refused connection counts as `refused`. A reset
+counts as `silent`, because an overloaded endpoint also resets connections.
+*/
 export const probeAddress = async (address: string, timeoutMs: number): Promise<ProbeResult> => new Promise(resolve => {
 	const socket = connect(splitAddress(address));
-	const end = (result: ProbeResult): void => {
+	const finish = (result: ProbeResult): void => {
 		clearTimeout(timer);
 		resolve(result);
 		socket.destroy();
 	};
 
 	const timer = setTimeout(() => {
-		// A connection that came while this process was busy elsewhere is reported before this.
-		setImmediate(end, 'silent');
+		// If the event loop was blocked, the socket may already be connected when the timer fires. `setImmediate` lets its
+		// `connect` event come first.
+		setImmediate(finish, 'silent');
 	}, timeoutMs);
 	socket.on('connect', () => {
-		end('reached');
+		finish('reached');
 	});
 	socket.on('error', (error: NodeJS.ErrnoException) => {
-		end(error.code === 'ECONNREFUSED' ? 'refused' : 'silent');
+		finish(error.code === 'ECONNREFUSED' ? 'refused' : 'silent');
 	});
 });
--- a/packages/host-kit/src/probe-result.ts
+++ b/packages/host-kit/src/probe-result.ts
@@ -1,6 +1,7 @@
 /**
-What a connection that was tried tells of an `ip:port`: it was accepted, it was refused, or nothing came in time.
+The result of a connection attempt to an `ip:port`: the connection was accepted (`reached`) or refused (`refused`), or the attempt
+timed out or failed with another error (`silent`).
 
-Dead ports refuse, and some cuts do as well.
+A port on which no process listens refuses connections. Some network failures show up as a refused connection, too.
 */
 export type ProbeResult = 'reached' | 'refused' | 'silent';
--- a/packages/host-kit/src/read-settings.ts
+++ b/packages/host-kit/src/read-settings.ts
@@ -3,7 +3,7 @@
 	fail, findValidationIssues, succeed, type ValidationIssue, type Result,
 } from '@deckwheel/core';
 
-/** A schema of zod, as far as it is used here. */
+/** The part of a zod schema that `readSettings` uses. */
 type Schema<T> = {
 	readonly safeParse: (value: unknown) =>
 		| {readonly success: true; readonly data: T}
@@ -18,7 +18,7 @@
 	}
 };
 
-/** Reads and checks a settings file. On failure, every fault with its path. */
+/** Reads a JSON settings file and validates it. On failure, the result lists every validation issue with its path. */
 export const readSettings = <T>(path: string, schema: Schema<T>): Result<T, readonly ValidationIssue[]> => {
 	const document = readDocument(path);
 	if (!document.ok) {
--- a/packages/host-kit/src/test/format-log-line.test.ts
+++ b/packages/host-kit/src/test/format-log-line.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {formatLogLine} from '../format-log-line.js';
 
-test('plain values stay searchable, others are quoted, absent ones are left out', t => {
+test('plain values are not quoted, other values are quoted, and undefined fields are left out', t => {
 	t.is(formatLogLine({
 		event: 'started', host: 'a-1#2', reason: 'load=1 cached=2', ms: 3, none: undefined,
 	}), 'event=started host=a-1#2 reason="load=1 cached=2" ms=3');
