--- a/packages/store-client/src/connect-platform.ts
+++ b/packages/store-client/src/connect-platform.ts
@@ -6,10 +6,10 @@
 import type {StoreError} from './store-error.js';
 import type {StoredObject} from './stored-object.js';
 
-/** The platform answers in milliseconds; a call that takes longer than this is given up on. */
+/** Timeout of a call, in ms. The platform usually responds within a few milliseconds. */
 const callTimeoutMs = 2000;
 
-/** Somewhat above the time after which the platform ends a waiting watch. */
+/** Timeout of a watch, in ms: somewhat longer than the time after which the platform itself ends a watch without a new version. */
 const watchTimeoutMs = 40_000;
 
 const objectSchema = z.object({key: z.string(), version: z.number(), value: z.unknown()});
@@ -20,10 +20,10 @@
 	})),
 });
 
-/** Connection errors that prove that the platform never saw the request. */
-const neverSentCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH']);
+/** Codes of connection errors that prove that the platform did not receive the request. */
+const notSentErrorCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH']);
 
-const errorOfStatus = (status: number): StoreError => {
+const storeErrorFromStatus = (status: number): StoreError => {
 	switch (status) {
 		case 409:
 		case 412: {
@@ -45,12 +45,12 @@
 	}
 };
 
-const errorOfException = (error: unknown): StoreError =>
-	error instanceof RequestError && neverSentCodes.has(error.code) ? 'unavailable' : 'unknown';
+const storeErrorFromException = (error: unknown): StoreError =>
+	error instanceof RequestError && notSentErrorCodes.has(error.code) ? 'unavailable' : 'unknown';
 
 const readBody = <T>(response: Response, schema: z.ZodType<T>): Result<T, StoreError> => {
 	if (response.statusCode !== 200) {
-		return fail(errorOfStatus(response.statusCode));
+		return fail(storeErrorFromStatus(response.statusCode));
 	}
 
 	const parsed = schema.safeParse(response.body);
@@ -61,14 +61,14 @@
 	try {
 		return readBody(await request(), schema);
 	} catch (error) {
-		return fail(errorOfException(error));
+		return fail(storeErrorFromException(error));
 	}
 };
 
-const pathOf = (key: string): string => `objects/${encodeURIComponent(key)}`;
+const objectPath = (key: string): string => `objects/${encodeURIComponent(key)}`;
 
-const conditionOf = (expected: number): Readonly<Record<string, string>> =>
-	expected === 0 ? {'if-none-match': '*'} : {'if-match': String(expected)};
+const preconditionHeaders = (expectedVersion: number): Readonly<Record<string, string>> =>
+	expectedVersion === 0 ? {'if-none-match': '*'} : {'if-match': String(expectedVersion)};
 
 const createClient = (url: string): Got => got.extend({
 	prefixUrl: url,
@@ -79,29 +79,29 @@
 });
 
 /**
-Connects to the platform's HTTP interface (see docs/protocols.md).
+Creates a client of the platform's HTTP API (see docs/protocols.md). The client does not retry failed calls.
 
-@param url Where it is, such as `http://10.0.0.1:8000`.
+@param url The base URL of the API, such as `http://10.0.0.1:8000`.
 */
 export const connectPlatform = (url: string): Platform => {
 	const client = createClient(url);
 	return {
-		get: async key => call<StoredObject>(async () => client.get(pathOf(key)), objectSchema),
+		get: async key => call<StoredObject>(async () => client.get(objectPath(key)), objectSchema),
 		async list(prefix) {
-			const outcome = await call(async () => client.get('objects', {searchParams: {prefix}}), listSchema);
-			return outcome.ok ? succeed(outcome.value.items) : outcome;
+			const result = await call(async () => client.get('objects', {searchParams: {prefix}}), listSchema);
+			return result.ok ? succeed(result.value.items) : result;
 		},
-		put: async (key, value, expected) => call<StoredObject>(
-			async () => client.put(pathOf(key), {json: {value}, headers: conditionOf(expected)}),
+		put: async (key, value, expectedVersion) => call<StoredObject>(
+			async () => client.put(objectPath(key), {json: {value}, headers: preconditionHeaders(expectedVersion)}),
 			objectSchema,
 		),
-		watch: async (key, after, signal) => call<StoredObject>(
-			async () => client.get(`watch/${encodeURIComponent(key)}`, {searchParams: {after}, signal, timeout: {request: watchTimeoutMs}}),
+		watch: async (key, afterVersion, signal) => call<StoredObject>(
+			async () => client.get(`watch/${encodeURIComponent(key)}`, {searchParams: {after: afterVersion}, signal, timeout: {request: watchTimeoutMs}}),
 			objectSchema,
 		),
 		async hosts() {
-			const outcome = await call<{hosts: ListedHost[]}>(async () => client.get('hosts'), hostsSchema);
-			return outcome.ok ? succeed(outcome.value.hosts) : outcome;
+			const result = await call<{hosts: ListedHost[]}>(async () => client.get('hosts'), hostsSchema);
+			return result.ok ? succeed(result.value.hosts) : result;
 		},
 	};
 };
--- a/packages/store-client/src/store-error.ts
+++ b/packages/store-client/src/store-error.ts
@@ -1,9 +1,9 @@
 /**
-Why a call to the object API did not succeed.
+Why a call to the platform failed.
 
-- `conflict`: the object has another version than expected; nothing was written.
-- `missing`: there is no such object.
-- `unavailable`: the call surely had no effect.
-- `unknown`: a write may or may not have taken effect.
+- `conflict`: the object's version is not the expected one; nothing was written.
+- `missing`: the object does not exist, or a watch ended without a new version.
+- `unavailable`: the call certainly had no effect, because the platform could not be reached or rejected the call at its rate limit.
+- `unknown`: any other failure; a write may or may not have taken effect.
 */
 export type StoreError = 'conflict' | 'missing' | 'unavailable' | 'unknown';
--- a/packages/store-client/src/stored-object.ts
+++ b/packages/store-client/src/stored-object.ts
@@ -1,8 +1,8 @@
 /** An object of the platform's store. */
 export type StoredObject = {
 	readonly key: string;
-	/** Rises with every write of the object. */
+	/** Increases with every write of the object. */
 	readonly version: number;
-	/** Any JSON value. Whoever reads it checks its shape. */
+	/** Any JSON value. The reader must check its shape. */
 	readonly value: unknown;
 };
