--- a/packages/bundle/src/adopt-bundle.ts
+++ b/packages/bundle/src/adopt-bundle.ts
@@ -10,16 +10,20 @@
 /** Why a bundle was not adopted. */
 type Rejection = 'not_newer' | 'bad_signature' | 'same_signer' | 'bad_content';
 
-const isSamePerson = ({author, approval}: SignedBundle, trusted: readonly TrustedKey[]): boolean => {
-	const keyOf = (signer: string | undefined) => trusted.filter(({id}) => id === signer).map(({publicKey}) => publicKey);
-	const authorKeys = keyOf(author.signer);
-	return author.signer === approval?.signer || keyOf(approval?.signer).some(key => authorKeys.includes(key));
+// A signer may be listed under several ids with the same public key, so the public keys are compared as well as the ids.
+const isSelfApproved = ({author, approval}: SignedBundle, trusted: readonly TrustedKey[]): boolean => {
+	const publicKeysOf = (signer: string | undefined) => trusted.filter(({id}) => id === signer).map(({publicKey}) => publicKey);
+	const authorKeys = publicKeysOf(author.signer);
+	return author.signer === approval?.signer || publicKeysOf(approval?.signer).some(key => authorKeys.includes(key));
 };
 
 /**
-Decides whether a host takes a bundle. Versions only rise, also when a peer or the platform offers an older one.
+Decides whether a host adopts a bundle that a peer or the platform offers. A host never adopts a bundle whose version is not above
+that of the bundle in force.
 
-@param current What is in force; `undefined` on a host that just started.
+@param current The bundle in force; `undefined` if the host has adopted none since its start.
+@param signed The bundle on offer.
+@param trusted The keys of authors and approvers from the host's settings.
 */
 export const adoptBundle = (current: AdoptedBundle | undefined, signed: SignedBundle, trusted: readonly TrustedKey[]): Result<AdoptedBundle, Rejection> => {
 	const {text, author, approval} = signed;
@@ -27,7 +31,7 @@
 		return fail('bad_signature');
 	}
 
-	if (isSamePerson(signed, trusted)) {
+	if (isSelfApproved(signed, trusted)) {
 		return fail('same_signer');
 	}
 
--- a/packages/bundle/src/adopted-bundle.ts
+++ b/packages/bundle/src/adopted-bundle.ts
@@ -1,9 +1,9 @@
 import type {Bundle} from './bundle.js';
 import type {SignedBundle} from './signed-bundle.js';
 
-/** A bundle that was verified and is in force on a host. */
+/** A bundle that a host has verified and put in force. */
 export type AdoptedBundle = {
 	readonly bundle: Bundle;
-	/** As received, so that it can be passed on to peers. */
+	/** The signed bundle as received, for passing it on to peers. */
 	readonly signed: SignedBundle;
 };
--- a/packages/bundle/src/bundle-schema.ts
+++ b/packages/bundle/src/bundle-schema.ts
@@ -8,15 +8,15 @@
 const apiKeySchema = z.strictObject({
 	/** SHA-256 of the key, in hexadecimal. The key itself is never stored. */
 	sha256: z.string().regex(/^[a-f\d]{64}$/, 'must be a SHA-256 in hexadecimal'),
-	/** The budget that requests with this key draw on. */
+	/** The id of the budget that pays for requests with this key. */
 	budget: id,
 });
 
 const organisationSchema = z.strictObject({
 	id,
-	/** The highest priority that its requests may ask for. */
+	/** The highest priority that the organisation's requests may ask for. */
 	priority: z.enum(['quick', 'normal', 'slow']),
-	/** Its share of a contended queue, relative to the others. */
+	/** Weight of the organisation's requests in a contended request queue, relative to other organisations. */
 	weight: z.number().positive().max(100).default(1),
 	apiKeys: z.array(apiKeySchema),
 });
@@ -32,23 +32,23 @@
 	hall: id,
 	kind: z.enum(['model', 'service']),
 	url: z.url(),
-	/** Models or services that it serves. */
+	/** The ids of the models or services that the endpoint serves. */
 	serves: z.array(id).min(1),
-	/** Requests that it runs side by side. */
+	/** The number of requests that the endpoint can run concurrently. */
 	slots: z.number().int().positive().max(10_000),
-	/** Whether it refuses a request that comes after its `sendBy`. */
+	/** Whether the endpoint refuses a request that arrives after the request's `sendBy`. */
 	checksSendBy: z.boolean().default(false),
-	/** A leaving endpoint gets no new work. */
+	/** Whether the endpoint is leaving. A leaving endpoint gets no new requests. */
 	isLeaving: z.boolean().default(false),
 });
 
 const callSchema = z.strictObject({
 	method: z.enum(['GET', 'POST', 'PUT', 'DELETE']),
-	/** The path begins with this. */
+	/** The prefix of the paths that the call covers. The first call of the service with the method and a matching prefix applies. */
 	path: z.string().startsWith('/'),
-	/** Whether the call may run more than once. */
+	/** Whether the call may be run more than once for one request. */
 	isRepeatable: z.boolean(),
-	/** What one call costs, in tokens. */
+	/** The price of one call, in tokens. */
 	cost: tokens,
 });
 
@@ -56,24 +56,25 @@
 
 const limitsSchema = z.strictObject({
 	maxBodyBytes: z.number().int().positive().max(16_000_000).default(1_000_000),
-	/** Requests that one host has open at once. */
+	/** The maximum number of requests that one host has open at once. */
 	maxOpenRequests: z.number().int().positive().max(100_000).default(2000),
-	/** Requests that wait at one host. */
+	/** The maximum length of one host's request queue. */
 	maxQueued: z.number().int().nonnegative().max(100_000).default(500),
+	/** Time from a request's arrival to its deadline, in seconds, for requests that state no deadline. */
 	defaultDeadlineSeconds: z.number().positive().max(86_400).default(120),
-	/** How long after its deadline a request's key is remembered. */
+	/** How long the claim on a request's key is kept after the request's deadline, in seconds. */
 	keepSeconds: z.number().positive().max(86_400).default(600),
 });
 
 const policySchema = z.strictObject({
 	profile: z.enum(['guard_spend', 'guard_service']),
-	/** The part of what is left of a budget that the halls hold, split by their demand; the rest stays in the store. */
+	/** The share of a budget's unspent tokens that the halls hold as rights, divided by the halls' demand. The remainder stays in the store. */
 	shareOfRest: z.number().positive().max(1),
-	/** How long demand is remembered for that split. */
+	/** Time constant, in seconds, with which the measure of a hall's demand decays. */
 	memorySeconds: z.number().positive().max(86_400).default(300),
 });
 
-/** The schema of a bundle. Unknown fields are faults, so that a misspelt one is noticed. */
+/** The schema of a bundle. An unknown field is an error, so that a misspelt field is noticed. */
 export const bundleSchema = z.strictObject({
 	version: z.number().int().positive(),
 	halls: z.array(hallSchema).min(1),
--- a/packages/bundle/src/sign-text.ts
+++ b/packages/bundle/src/sign-text.ts
@@ -3,10 +3,11 @@
 import type {Signature} from './signature.js';
 
 /**
-Signs a bundle's text.
+Signs the text of a bundle.
 
-@param role Part of what is signed: an author's signature cannot pass as an approval.
-@param privateKey Ed25519 private key as PEM.
+@param role The role of the signer. The signature covers the role, so that an author's signature cannot pass as an approval.
+@param signer The id of the signer in the hosts' trusted keys.
+@param privateKey Ed25519 private key, in PEM.
 */
 export const signText = (text: string, role: 'author' | 'approver', signer: string, privateKey: string): Signature => ({
 	signer,
--- a/packages/bundle/src/signature.ts
+++ b/packages/bundle/src/signature.ts
@@ -1,7 +1,7 @@
-/** Somebody's signature over a bundle's text. */
+/** A signature over the text of a bundle and the role of its signer. */
 export type Signature = {
-	/** Who signed, as named in the trusted keys. */
+	/** The id of the signer in the hosts' trusted keys. */
 	readonly signer: string;
-	/** Ed25519, in base64. */
+	/** Ed25519 signature, in base64. */
 	readonly value: string;
 };
--- a/packages/bundle/src/signed-bundle.ts
+++ b/packages/bundle/src/signed-bundle.ts
@@ -1,10 +1,10 @@
 import type {Signature} from './signature.js';
 
-/** A bundle as it travels: its exact text, and who stands for it. */
+/** A bundle as stored and sent between hosts: its exact text, and the signatures of its author and approver. */
 export type SignedBundle = {
-	/** The bundle's JSON. Signatures are over these very bytes. */
+	/** The bundle as JSON. The signatures cover exactly this text, so the text must never be reformatted. */
 	readonly text: string;
 	readonly author: Signature;
-	/** Absent until somebody other than the author approves. */
+	/** The signature of an approver who is not the author; absent until the bundle is approved. */
 	readonly approval?: Signature;
 };
--- a/packages/bundle/src/verify-signature.ts
+++ b/packages/bundle/src/verify-signature.ts
@@ -3,13 +3,13 @@
 import type {Signature} from './signature.js';
 import type {TrustedKey} from './trusted-key.js';
 
-/** Whether a trusted key of this role made the signature. */
+/** Whether the signature over the bundle's text was made with the trusted key of the signer for the role. */
 export const verifySignature = (text: string, role: TrustedKey['role'], signature: Signature, trusted: readonly TrustedKey[]): boolean => {
-	const entry = trusted.find(({id, role: trustedRole}) => id === signature.signer && trustedRole === role);
-	if (!entry) {
+	const trustedKey = trusted.find(({id, role: trustedRole}) => id === signature.signer && trustedRole === role);
+	if (!trustedKey) {
 		return false;
 	}
 
-	const key = createPublicKey({key: Buffer.from(entry.publicKey, 'base64'), format: 'der', type: 'spki'});
-	return verify(null, Buffer.from(`deckwheel-bundle-1\n${role}\n${text}`), key, Buffer.from(signature.value, 'base64'));
+	const publicKey = createPublicKey({key: Buffer.from(trustedKey.publicKey, 'base64'), format: 'der', type: 'spki'});
+	return verify(null, Buffer.from(`deckwheel-bundle-1\n${role}\n${text}`), publicKey, Buffer.from(signature.value, 'base64'));
 };
