--- a/packages/daemon/src/lib/running/send-run.ts
+++ b/packages/daemon/src/lib/running/send-run.ts
@@ -27,7 +27,7 @@
 const notePoison = ({job, run, place, poison}: Options, {end, sentAt}: Sent): void => {
 	const request = (): string => fingerprintOfJob(job);
 	if (end.outcome === 'finished' || end.outcome === 'failed') {
-		poison.noteAnsweredRun(request);
+		poison.noteCompletedRun(request);
 	} else if (end.outcome === 'lost') {
 		const endpoint = {id: `${place.endpoint} ${job.key.text}#${run.number}`, address: new URL(place.url).host};
 		poison.noteLostRun({
--- a/packages/daemon/src/lib/running/start-poison-watch.ts
+++ b/packages/daemon/src/lib/running/start-poison-watch.ts
@@ -1,7 +1,7 @@
 import {probeAddress} from '@deckwheel/host-kit';
 import type {Mesh} from '@deckwheel/mesh';
 import {
-	createEndpointEnds, createPoisonDetector, suspicionsReplySchema, type PoisonDetector,
+	createCrashDetector, createPoisonDetector, suspicionsReplySchema, type PoisonDetector,
 } from '@deckwheel/poison';
 import type {MembershipTask} from '../membership/membership-task.js';
 import type {Context} from '../process/context.js';
@@ -24,11 +24,11 @@
 	createPoisonDetector({
 		self: () => ({address: address(), hall}),
 		peers: () => membership().hosts().filter(known => known.host !== host),
-		async ask(peer, question) {
+		async sendRequest(peer, question) {
 			const reply = await mesh().request(peer.address, {type: 'suspicions', ...question}, askMs);
 			return reply.ok ? suspicionsReplySchema.safeParse(reply.value).data : undefined;
 		},
-		ends: createEndpointEnds(async endpoint => probeAddress(endpoint, probeMs)),
+		crashDetector: createCrashDetector(async endpoint => probeAddress(endpoint, probeMs)),
 		log(event, fields) {
 			log('warn', event, fields);
 		},
--- a/packages/entry/src/lib/host/start-peer-tasks.ts
+++ b/packages/entry/src/lib/host/start-peer-tasks.ts
@@ -1,6 +1,6 @@
 import {createEventCounter, probeAddress} from '@deckwheel/host-kit';
 import {
-	createEndpointEnds, createPoisonDetector, suspicionsReplySchema, type PoisonDetector,
+	createCrashDetector, createPoisonDetector, suspicionsReplySchema, type PoisonDetector,
 } from '@deckwheel/poison';
 import type {z} from 'zod';
 import type {Log} from '../../adapter/log.js';
@@ -82,8 +82,8 @@
 	const poison = createPoisonDetector({
 		self: () => links.self(),
 		peers: () => links.others(),
-		ask: async ({address: asked}, question) => askPeer(asked, {type: 'suspicions', ...question}, suspicionsReplySchema),
-		ends: createEndpointEnds(async endpoint => probeAddress(endpoint, timeouts.probeMs)),
+		sendRequest: async ({address: asked}, question) => askPeer(asked, {type: 'suspicions', ...question}, suspicionsReplySchema),
+		crashDetector: createCrashDetector(async endpoint => probeAddress(endpoint, timeouts.probeMs)),
 		every: repeatByTimer,
 		random: Math.random,
 		log,
--- a/packages/entry/src/lib/request/run-request.ts
+++ b/packages/entry/src/lib/request/run-request.ts
@@ -60,7 +60,7 @@
 /** Reports to the detector of poison requests, which make endpoints crash, whether a run was lost or got a response. */
 const reportToPoisonDetector = ({id, fingerprint}: RequestInputs, {end, endpoint, startedAt, isOver}: Omit<EndedAttempt, 'outputTokens'>, {poison}: HostContext): void => {
 	if (hasEndpointResponded(end)) {
-		poison.noteAnsweredRun(fingerprint);
+		poison.noteCompletedRun(fingerprint);
 	} else if (end.type === 'lost' && !isOver) {
 		poison.noteLostRun({
 			id, fingerprint, endpoint, sentAt: startedAt,
--- a/packages/entry/src/test/lib/start-crashing-fleet.ts
+++ b/packages/entry/src/test/lib/start-crashing-fleet.ts
@@ -11,24 +11,25 @@
 import {createMemoryRightsStore} from './memory-rights-store.js';
 import {makeConfig, startHost} from './start-host.js';
 
-/** A request with this path ends each endpoint that begins to run it. */
+/** A request with this path crashes each endpoint that begins to run it. */
 export const fatalPath = '/fatal';
 
-/** A request with this path runs until it is told to end. */
+/** A request with this path runs until the test releases it. */
 export const heldPath = '/held';
 
-type Life = {readonly listed: ListedEndpoint; readonly server: Server; readonly held: ServerResponse[]};
+/** One process of an endpoint. `held` are the responses of the runs that wait for their release. */
+type CrashingEndpoint = {readonly listed: ListedEndpoint; readonly server: Server; readonly held: ServerResponse[]};
 
-/** For how long hosts may take to hear of each other, in ms: the bound of a wait that mostly ends within a few. */
-const longestWaitMs = 10_000;
+/** The longest that `eventually` waits, in ms. Mostly a wait ends within a few ms. */
+const maxWaitMs = 10_000;
 
 const halls = ['hall-a', 'hall-b'];
 
 const hallOf = (index: number): string => halls[index % halls.length]!;
 
-/** Waits until a condition holds; `false` when it does not for a long time. */
+/** Waits until a condition holds, for 10 s at most; returns whether it holds. */
 export const eventually = async (holds: () => boolean): Promise<boolean> => {
-	const until = performance.now() + longestWaitMs;
+	const until = performance.now() + maxWaitMs;
 	while (!holds() && performance.now() < until) {
 		await sleep(1);
 	}
@@ -37,70 +38,70 @@
 };
 
 /**
-Starts whole hosts in two halls before endpoints that end when they are told, or when they begin to run the request that ends
-them. An endpoint that ended is back at once, as another life at another port, and listed at each host.
+Starts complete hosts and endpoints in two halls. An endpoint crashes when the test says so (`crash`), or when it begins to run a
+request with `fatalPath`. It restarts at once as another incarnation at another port, and each host gets the new list of endpoints.
 */
 export const startCrashingFleet = async (hostCount: number, endpointCount: number) => {
 	const peers = new Map<string, ListedPeer>();
 	const hosts: Array<Awaited<ReturnType<typeof startHost>>> = [];
-	const lives: Life[] = [];
-	/** Endpoints that the request which ends them reached, in order. */
+	const endpoints: CrashingEndpoint[] = [];
+	/** The ids of the endpoints that requests with `fatalPath` reached, in order. */
 	const fatalArrivals: string[] = [];
-	let started = 0;
+	let startedCount = 0;
 	let isClosed = false;
 
-	const list = (): void => {
+	const publishEndpoints = (): void => {
 		for (const {entry} of hosts) {
-			entry.listEndpoints(lives.map(({listed}) => listed));
+			entry.listEndpoints(endpoints.map(({listed}) => listed));
 		}
 	};
 
-	const end = ({server}: Life): void => {
+	const stopEndpoint = ({server}: CrashingEndpoint): void => {
 		server.close();
 		server.closeAllConnections();
 	};
 
-	const answer = (req: IncomingMessage, res: ServerResponse, place: number): void => {
+	const respond = (req: IncomingMessage, res: ServerResponse, index: number): void => {
 		res.setHeader(headerNames.requestId, String(req.headers[headerNames.requestId]));
-		const life = lives[place]!;
-		res.setHeader(headerNames.stamp, life.listed.id);
+		const endpoint = endpoints[index]!;
+		res.setHeader(headerNames.stamp, endpoint.listed.id);
 		if (req.url === fatalPath) {
-			fatalArrivals.push(life.listed.id);
-			void crash(place);
+			fatalArrivals.push(endpoint.listed.id);
+			void crash(index);
 		} else if (req.url === heldPath) {
-			life.held.push(res);
+			endpoint.held.push(res);
 		} else {
 			res.end('fine');
 		}
 	};
 
-	const startLife = async (place: number): Promise<void> => {
-		const id = `e${place}#${started++}`;
+	const startEndpoint = async (index: number): Promise<void> => {
+		const id = `e${index}#${startedCount++}`;
 		const server = createServer((req, res) => {
 			req.resume();
 			req.on('end', () => {
-				answer(req, res, place);
+				respond(req, res, index);
 			});
 		});
 		server.listen(0, '127.0.0.1');
 		await once(server, 'listening');
 		const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
-		lives[place] = {
+		endpoints[index] = {
 			server,
 			held: [],
 			listed: {
-				id, instance: id, hall: hallOf(place), address, serves: ['s'], slots: 8, isLeaving: false,
+				id, instance: id, hall: hallOf(index), address, serves: ['s'], slots: 8, isLeaving: false,
 			},
 		};
 	};
 
-	const crash = async (place: number): Promise<void> => {
-		end(lives[place]!);
-		await startLife(place);
+	const crash = async (index: number): Promise<void> => {
+		stopEndpoint(endpoints[index]!);
+		await startEndpoint(index);
 		if (isClosed) {
-			end(lives[place]!);
+			stopEndpoint(endpoints[index]!);
 		} else {
-			list();
+			publishEndpoints();
 		}
 	};
 
@@ -109,12 +110,12 @@
 		const host = await startHost(createMemoryRightsStore(), {host: `edge-${index}`, hall: hallOf(index), peers});
 		hosts.push(host);
 		host.entry.configure(makeConfig());
-		list();
+		publishEndpoints();
 		return index;
 	};
 
-	for (let place = 0; place < endpointCount; place++) {
-		await startLife(place);
+	for (let index = 0; index < endpointCount; index++) {
+		await startEndpoint(index);
 	}
 
 	for (let index = 0; index < hostCount; index++) {
@@ -125,22 +126,22 @@
 
 	return {
 		hosts,
-		lives,
+		endpoints,
 		fatalArrivals,
 		crash,
 		addHost,
 		send: async (host: number, path: string, body = 'the same'): Promise<CallerAnswer> => callHost(hosts[host]!.callers, {path, body}),
-		/** Ends the runs that are held at one place with a whole answer. */
-		release(place: number) {
-			for (const res of lives[place]!.held.splice(0)) {
+		/** Completes the runs that the endpoint at `index` holds, each with a whole response. */
+		release(index: number) {
+			for (const res of endpoints[index]!.held.splice(0)) {
 				res.end('fine');
 			}
 		},
 		async close() {
 			isClosed = true;
 			await Promise.all(hosts.map(async ({entry}) => entry.kill()));
-			for (const life of lives) {
-				end(life);
+			for (const endpoint of endpoints) {
+				stopEndpoint(endpoint);
 			}
 		},
 	};
--- a/packages/entry/src/test/poison-requests.test.ts
+++ b/packages/entry/src/test/poison-requests.test.ts
@@ -1,13 +1,13 @@
 /**
-What users saw: for seconds on end, 502 and streams that broke off, for whatever ran at the model endpoints; these ended one after
-the other, and their new lives as well.
+Guards against a request that crashes every endpoint that runs it: callers of all requests got 502 and broken streams for seconds,
+because the endpoints, and their restarted processes too, crashed one after the other.
 
-Order of events: an endpoint begins to run a request and ends. The host that sent it answers 502, or sends it to a second
-endpoint, which ends as well. The caller sends the same request again, to another host, which sends it on.
+An endpoint begins to run the request and crashes. The host that forwarded the request responds with 502 or retries at a second
+endpoint, which crashes as well. Then the caller sends the same request again to another host, which forwards it.
 
-Cause: a run that broke off counted against its endpoint, and never against its request; no host knew what the request had done
-elsewhere. Evidence: with each lost run named by its request, one stood under 32 of 32 ends, a popular one under 10, all others
-under one or two; before the mend, the first test saw 22 arrivals.
+This happens when a run that broke off counts against its endpoint but never against its request, and no host knows of the crashes
+that other hosts observed. In the logs of lost runs, one request was running at 32 of 32 crashes, a popular request at 10, and every
+other request at one or two. Without the detector, the request of the first test reached endpoints 22 times.
 */
 import test from 'ava';
 import {
@@ -17,45 +17,45 @@
 const hostCount = 5;
 const endpointCount = 10;
 
-/** Ends after which a request counts as the one to blame. */
-const endsToBlock = 3;
+/** The number of crashes after which the hosts block a request. */
+const crashesToBlock = 3;
 
-/** What may still be on its way when the third endpoint has ended. */
-const mayFollow = 3;
+/** The most arrivals of the request at endpoints after the third crash: runs that were already on their way. */
+const maxLateArrivals = 3;
 
 type Fleet = Awaited<ReturnType<typeof startCrashingFleet>>;
 
 const isBlockedAtAll = ({hosts}: Fleet): boolean => hosts.every(({events}) => events.some(({event}) => event === 'request_blocked'));
 
-const launch = async (t: {teardown: (end: () => Promise<void>) => void}): Promise<Fleet> => {
+const startFleet = async (t: {teardown: (end: () => Promise<void>) => void}): Promise<Fleet> => {
 	const fleet = await startCrashingFleet(hostCount, endpointCount);
 	t.teardown(fleet.close);
 	return fleet;
 };
 
-/** Sends the request that ends endpoints to one host after the other, until it has ended enough and the hosts have heard of it. */
+/** Sends the request that crashes endpoints to one host after the other until it has crashed three, then waits until all hosts block it. */
 const sendUntilBlocked = async (fleet: Fleet): Promise<boolean> => {
-	for (let i = 0; fleet.fatalArrivals.length < endsToBlock; i++) {
+	for (let i = 0; fleet.fatalArrivals.length < crashesToBlock; i++) {
 		await fleet.send(i % hostCount, fatalPath);
 	}
 
 	return eventually(() => isBlockedAtAll(fleet));
 };
 
-test('a request that has ended three endpoints is sent to no more of them, whichever host it comes to', async t => {
-	const fleet = await launch(t);
+test('a request that has crashed three endpoints is forwarded to no further endpoint by any host', async t => {
+	const fleet = await startFleet(t);
 	await sendUntilBlocked(fleet);
 	for (let i = 0; i < 2 * hostCount; i++) {
 		await fleet.send(i % hostCount, fatalPath);
 	}
 
-	t.true(fleet.fatalArrivals.length <= endsToBlock + mayFollow, `${fleet.fatalArrivals.length} arrivals`);
+	t.true(fleet.fatalArrivals.length <= crashesToBlock + maxLateArrivals, `${fleet.fatalArrivals.length} arrivals`);
 	const other = await fleet.send(0, '/other');
 	t.is(other.status, 200);
 });
 
-test('its caller is told at once that coming back is of no use for minutes', async t => {
-	const fleet = await launch(t);
+test('the caller of a blocked request gets 429 at once, with a Retry-After of more than a minute', async t => {
+	const fleet = await startFleet(t);
 	await sendUntilBlocked(fleet);
 	const {status, headers, body} = await fleet.send(0, fatalPath);
 	t.is(status, 429);
@@ -63,8 +63,8 @@
 	t.like(JSON.parse(body), {error: {code: 'request_blocked', ran: 'not_run'}});
 });
 
-test('a host that starts later knows of it', async t => {
-	const fleet = await launch(t);
+test('a host that starts later does not forward a blocked request', async t => {
+	const fleet = await startFleet(t);
 	await sendUntilBlocked(fleet);
 	const late = await fleet.addHost();
 	await eventually(() => fleet.hosts[late]!.events.some(({event}) => event === 'request_blocked'));
@@ -73,34 +73,34 @@
 	t.is(fleet.fatalArrivals.length, before);
 });
 
-const heldCount = ({lives}: Fleet): number => lives.reduce((sum, {held}) => sum + held.length, 0);
+const heldRunCount = ({endpoints}: Fleet): number => endpoints.reduce((sum, {held}) => sum + held.length, 0);
 
-/** Sends a popular request several times, one host after the other, and returns its answers once endpoints run them all. */
+/** Sends a popular request `count` times, to one host after the other, and returns its responses once endpoints run all of them. */
 const sendPopular = async (fleet: Fleet, count: number): Promise<ReadonlyArray<ReturnType<Fleet['send']>>> => {
-	const before = heldCount(fleet);
-	const answers = Array.from({length: count}, async (_, i) => fleet.send(i % hostCount, heldPath));
-	await eventually(() => heldCount(fleet) === before + count);
-	return answers;
+	const before = heldRunCount(fleet);
+	const responses = Array.from({length: count}, async (_, i) => fleet.send(i % hostCount, heldPath));
+	await eventually(() => heldRunCount(fleet) === before + count);
+	return responses;
 };
 
-/** Lets what endpoints run come to its end until all answers are here, and returns their statuses. */
-const endAll = async (fleet: Fleet, answers: ReadonlyArray<ReturnType<Fleet['send']>>): Promise<readonly number[]> => {
+/** Lets endpoints complete the runs that they hold until all responses have come, and returns the HTTP statuses. */
+const releaseAll = async (fleet: Fleet, responses: ReadonlyArray<ReturnType<Fleet['send']>>): Promise<readonly number[]> => {
 	const statuses: number[] = [];
-	const note = async (answer: ReturnType<Fleet['send']>): Promise<void> => {
-		const {status} = await answer;
+	const collectStatus = async (response: ReturnType<Fleet['send']>): Promise<void> => {
+		const {status} = await response;
 		statuses.push(status);
 	};
 
-	for (const answer of answers) {
-		void note(answer);
+	for (const response of responses) {
+		void collectStatus(response);
 	}
 
 	await eventually(() => {
-		for (const place of fleet.lives.keys()) {
-			fleet.release(place);
+		for (const index of fleet.endpoints.keys()) {
+			fleet.release(index);
 		}
 
-		return statuses.length === answers.length;
+		return statuses.length === responses.length;
 	});
 	return statuses;
 };
@@ -108,35 +108,35 @@
 const blockedRequests = ({hosts}: Fleet): ReadonlySet<unknown> =>
 	new Set(hosts.flatMap(({events}) => events.filter(({event}) => event === 'request_blocked').map(({fields}) => fields.request)));
 
-// Who is under way when an endpoint ends is mostly not to blame for it; what tells is that it comes to a good end elsewhere.
-test('a popular request that is under way at endpoints that end by themselves goes on being served', async t => {
-	const fleet = await launch(t);
+// Most requests that are running when an endpoint crashes did not cause the crash. A response from another endpoint clears them.
+test('a popular request that happens to run at crashing endpoints is still served', async t => {
+	const fleet = await startFleet(t);
 	for (let i = 0; i < 13; i++) {
-		const answers = await sendPopular(fleet, 2);
-		await fleet.crash(fleet.lives.findIndex(({held}) => held.length > 0));
-		t.deepEqual(await endAll(fleet, answers), [200, 200]);
+		const responses = await sendPopular(fleet, 2);
+		await fleet.crash(fleet.endpoints.findIndex(({held}) => held.length > 0));
+		t.deepEqual(await releaseAll(fleet, responses), [200, 200]);
 	}
 
 	t.is(blockedRequests(fleet).size, 0);
 });
 
-test('endpoints that end all at once, and again, block none of what ran there', async t => {
-	const fleet = await launch(t);
+test('all endpoints crashing at once, twice, blocks none of the requests that ran there', async t => {
+	const fleet = await startFleet(t);
 	for (let round = 0; round < 2; round++) {
-		const answers = await sendPopular(fleet, 2 * endpointCount);
-		await Promise.all(fleet.lives.map(async (_, place) => fleet.crash(place)));
-		await endAll(fleet, answers);
+		const responses = await sendPopular(fleet, 2 * endpointCount);
+		await Promise.all(fleet.endpoints.map(async (_, index) => fleet.crash(index)));
+		await releaseAll(fleet, responses);
 	}
 
-	t.deepEqual(await endAll(fleet, await sendPopular(fleet, hostCount)), [200, 200, 200, 200, 200]);
+	t.deepEqual(await releaseAll(fleet, await sendPopular(fleet, hostCount)), [200, 200, 200, 200, 200]);
 	t.is(blockedRequests(fleet).size, 0);
 });
 
-test('beside a request that ends endpoints, others are not blocked', async t => {
-	const fleet = await launch(t);
+test('other requests that run beside a request that crashes endpoints are not blocked', async t => {
+	const fleet = await startFleet(t);
 	const popular = await sendPopular(fleet, 2 * endpointCount);
 	t.true(await sendUntilBlocked(fleet));
-	const statuses = await endAll(fleet, popular);
+	const statuses = await releaseAll(fleet, popular);
 	t.is(statuses.length, popular.length);
 	t.false(statuses.includes(429));
 	t.is(blockedRequests(fleet).size, 1);
--- a/packages/poison/src/create-poison-detector.ts
+++ b/packages/poison/src/create-poison-detector.ts
@@ -1,9 +1,9 @@
 import type {LogFields} from '@deckwheel/host-kit';
-import type {EndpointEnds} from './endpoint-ends.js';
+import type {CrashDetector} from './crash-detector.js';
 import {createExchange} from './lib/create-exchange.js';
-import {createLearner} from './lib/create-learner.js';
+import {createSuspicionRecorder} from './lib/create-suspicion-recorder.js';
 import {createSuspicionTable} from './lib/create-suspicion-table.js';
-import {successiveEnds} from './lib/successive-ends.js';
+import {successiveCrashes} from './lib/successive-crashes.js';
 import type {LostRun} from './lost-run.js';
 import type {Peer} from './peer.js';
 import type {PoisonDetector} from './poison-detector.js';
@@ -11,73 +11,75 @@
 import type {SuspicionsReply} from './suspicions-reply.js';
 
 /**
-Between two rounds of gossip while a request is blocked, in ms: a host that comes back from a cut has heard of it within a few
-rounds, well before it counts as in touch again.
+The time between two rounds of gossip while a request is blocked, in ms. A host that reconnects after a network partition learns of
+a blocked request within a few rounds, well before the host counts as in touch again.
 */
-const gossipEveryMs = 1000;
+const gossipIntervalMs = 1000;
 
 type Options = {
-	/** This host, as it is listed. */
+	/** This host, as it stands in the peer list. */
 	readonly self: () => Peer;
-	/** All other hosts that are listed, of every hall. */
+	/** All other hosts of the peer list, of every hall. */
 	readonly peers: () => readonly Peer[];
-	/** Asks one peer; `undefined` when it does not answer in time. */
-	readonly ask: (peer: Peer, question: SuspicionsRequest) => Promise<SuspicionsReply | undefined>;
-	readonly ends: EndpointEnds;
-	/** Writes one line of key=value pairs for an event. */
+	/** Sends one peer a message and returns the peer's reply; `undefined` when no valid reply came in time. */
+	readonly sendRequest: (peer: Peer, message: SuspicionsRequest) => Promise<SuspicionsReply | undefined>;
+	/** Tells whether the endpoint of a lost run crashed. */
+	readonly crashDetector: CrashDetector;
+	/** Writes one log line of key=value pairs for an event. */
 	readonly log: (event: string, fields: LogFields) => void;
-	/** From 0 up to 1. */
+	/** Returns a random number from 0 (inclusive) to 1 (exclusive). */
 	readonly random: () => number;
-	/** Calls back again and again; returns what ends it. */
+	/** Calls a function every `pauseMs` ms; returns a function that stops the calls. */
 	readonly every: (pauseMs: number, callback: () => void) => () => void;
-	/** Monotonic ms. */
+	/** The time in monotonic ms. */
 	readonly now: () => number;
 };
 
 /**
 Creates a detector that suspects no request, and starts its gossip.
 
-A request is blocked once endpoints have ended under it one after the other (`successiveEnds`, `blockedUntil`), at whichever
-hosts. Each host tells the collectors of a request (`collectorsOf`) what it saw; who finds that it is to be blocked tells its hall.
-While one is blocked, hosts go on telling some others at random, so that one that was cut off, or has just started, hears too.
-The store is not asked: it may be away, and a lost run would cost it a call.
+A request is blocked once endpoints have crashed one after the other while they ran it (`successiveCrashes`, `blockedUntil`),
+whichever hosts sent it. Each host sends the crashes that it observed to the collectors of the request (`collectorsOf`); a host that
+finds the request newly blocked or unblocked tells the other hosts of its hall. While a request is blocked, each host also sends
+that to a few random peers, so that a host that was cut off or has just started learns of it too. The store takes no part: it may be
+unavailable, and each lost run would cost it a call.
 */
-export const createPoisonDetector = ({self, peers, ask, ends, log, random, every, now}: Options): PoisonDetector => {
+export const createPoisonDetector = ({self, peers, sendRequest, crashDetector, log, random, every, now}: Options): PoisonDetector => {
 	const table = createSuspicionTable(now);
 	const exchange = createExchange({
-		table, learn: createLearner({table, log, now}), self, peers, ask, random, now,
+		table, recordSuspicion: createSuspicionRecorder({table, log, now}), self, peers, sendRequest, random, now,
 	});
 
-	const noteLost = async ({id, fingerprint, endpoint, sentAt}: LostRun): Promise<void> => {
+	const addLostRun = async ({id, fingerprint, endpoint, sentAt}: LostRun): Promise<void> => {
 		const endedAt = now();
-		const hasEnded = await ends.hasEnded(endpoint);
+		const hasCrashed = await crashDetector.hasCrashed(endpoint);
 		const request = fingerprint();
 		log('run_lost', {
-			id, request, endpoint: endpoint.id, after_ms: Math.round(endedAt - sentAt), endpoint_ended: hasEnded,
+			id, request, endpoint: endpoint.id, after_ms: Math.round(endedAt - sentAt), endpoint_ended: hasCrashed,
 		});
-		if (hasEnded) {
-			exchange.spread(request, {ends: new Map([[endpoint.id, {sentAt, endedAt}]]), cleared: new Set()});
+		if (hasCrashed) {
+			exchange.publish(request, {crashes: new Map([[endpoint.id, {sentAt, endedAt}]]), cleared: new Set()});
 		}
 	};
 
 	return {
 		noteLostRun(run) {
-			void noteLost(run);
+			void addLostRun(run);
 		},
-		noteAnsweredRun(fingerprint) {
+		noteCompletedRun(fingerprint) {
 			if (table.isEmpty()) {
 				return;
 			}
 
 			const request = fingerprint();
 			const known = table.get(request);
-			if (known && successiveEnds(known).length > 0) {
-				exchange.spread(request, {ends: known.ends, cleared: new Set(known.ends.keys())});
+			if (known && successiveCrashes(known).length > 0) {
+				exchange.publish(request, {crashes: known.crashes, cleared: new Set(known.crashes.keys())});
 			}
 		},
 		blockedUntil: fingerprint => table.isEmpty() ? undefined : table.blockedUntil(fingerprint()),
 		answer: exchange.answer,
 		notePeerList: exchange.gossip,
-		close: every(gossipEveryMs, exchange.gossip),
+		close: every(gossipIntervalMs, exchange.gossip),
 	};
 };
--- a/packages/poison/src/index.ts
+++ b/packages/poison/src/index.ts
@@ -1,4 +1,4 @@
-export {createEndpointEnds} from './create-endpoint-ends.js';
+export {createCrashDetector} from './create-crash-detector.js';
 export {createPoisonDetector} from './create-poison-detector.js';
 export type {PoisonDetector} from './poison-detector.js';
 export {suspicionsRequestSchema} from './suspicions-request-schema.js';
--- a/packages/poison/src/lib/blocked-until.ts
+++ b/packages/poison/src/lib/blocked-until.ts
@@ -1,25 +1,28 @@
-import {successiveEnds} from './successive-ends.js';
+import {successiveCrashes} from './successive-crashes.js';
 import type {Suspicion} from './suspicion.js';
 
-/** Endpoints that a request ends before it is blocked: one may end by chance under anything, and two still do when many end at once. */
-const endsToBlock = 3;
+/**
+The number of successive crashes that blocks a request. One endpoint may crash by chance under any request, and when many endpoints
+crash at once, two may.
+*/
+const crashesToBlock = 3;
 
 /**
-How long a first block lasts, in ms, doubled with each further end: after it, the request is tried once more. An endpoint of another
-version may bear it, and one that was only unlucky three times is not kept away for long.
+The length of a first block, in ms, which doubles with each further crash. After the block the request is sent to an endpoint again:
+an endpoint of another version may survive it, and a request that met three unrelated crashes is not blocked for long.
 */
 const firstBlockMs = 120_000;
 
-/** Doublings of the block at most: it ends within a day. */
+/** The most times that the block's length is doubled: the longest block ends within a day. */
 const maxDoublings = 9;
 
-/** Until when a request is sent to no endpoint, in monotonic ms; `undefined` of one that never was blocked. Pure. */
+/** When the block of a request ends or ended, in monotonic ms; `undefined` when too few crashes count to block the request. Pure. */
 export const blockedUntil = (suspicion: Suspicion): number | undefined => {
-	const ends = successiveEnds(suspicion);
-	if (ends.length < endsToBlock) {
+	const crashes = successiveCrashes(suspicion);
+	if (crashes.length < crashesToBlock) {
 		return undefined;
 	}
 
-	const doublings = Math.min(maxDoublings, ends.length - endsToBlock);
-	return ends.at(-1)!.endedAt + (firstBlockMs * (2 ** doublings));
+	const doublings = Math.min(maxDoublings, crashes.length - crashesToBlock);
+	return crashes.at(-1)!.endedAt + (firstBlockMs * (2 ** doublings));
 };
--- a/packages/poison/src/lib/collectors-of.ts
+++ b/packages/poison/src/lib/collectors-of.ts
@@ -1,17 +1,20 @@
 import {rankByRendezvous} from '@deckwheel/core';
 import type {Peer} from '../peer.js';
 
-/** Hosts of each hall that gather the ends of one request: one may be gone or cut off. */
-const collectorsAHall = 2;
+/** The number of hosts in each hall that collect the crashes of one request: two, since one may be down or cut off. */
+const collectorsPerHall = 2;
 
 /**
-The hosts that gather what is known of one request: the same ones wherever it comes in, so that its ends add up without each
-host telling each other. Every hall has its own, since halls may be cut off from each other. Pure.
+Returns the hosts that collect what is known of one request. They are the same whichever host received the request, so its crashes
+add up without every host having to tell every other. Every hall has its own collectors, since halls may be cut off from each other.
+Pure.
+
+@param request The request's fingerprint.
 */
 export const collectorsOf = (request: string, hosts: readonly Peer[]): readonly Peer[] => {
 	const halls = new Set(hosts.map(({hall}) => hall));
 	return [...halls].flatMap(hall => {
 		const byAddress = new Map(hosts.filter(host => host.hall === hall).map(host => [host.address, host]));
-		return rankByRendezvous(request, [...byAddress.keys()]).slice(0, collectorsAHall).map(address => byAddress.get(address)!);
+		return rankByRendezvous(request, [...byAddress.keys()]).slice(0, collectorsPerHall).map(address => byAddress.get(address)!);
 	});
 };
--- a/packages/poison/src/lib/create-exchange.ts
+++ b/packages/poison/src/lib/create-exchange.ts
@@ -3,97 +3,100 @@
 import type {SuspicionsRequest} from '../suspicions-request.js';
 import type {SuspicionsReply} from '../suspicions-reply.js';
 import {collectorsOf} from './collectors-of.js';
-import type {Learn} from './create-learner.js';
-import {hearSuspicion} from './hear-suspicion.js';
+import type {RecordSuspicion} from './create-suspicion-recorder.js';
+import {fromWireSuspicion} from './from-wire-suspicion.js';
 import {isBlockedAt} from './is-blocked-at.js';
 import {noSuspicion} from './no-suspicion.js';
 import {pickGossipPeers} from './pick-gossip-peers.js';
 import type {SuspicionTable} from './suspicion-table.js';
 import type {Suspicion} from './suspicion.js';
-import {tellSuspicion} from './tell-suspicion.js';
+import {toWireSuspicion} from './to-wire-suspicion.js';
 
-/** Blocked requests told in one message, those that were asked for last first: a bound on its size. */
-const maxTold = 20;
+/** The most blocked requests sent in one message, the most recently used first: a bound on the message's size. */
+const maxBlockedPerMessage = 20;
 
 type Options = {
 	readonly table: SuspicionTable;
-	readonly learn: Learn;
-	/** This host, as it is listed. */
+	readonly recordSuspicion: RecordSuspicion;
+	/** This host, as it stands in the peer list. */
 	readonly self: () => Peer;
-	/** All other hosts that are listed, of every hall. */
+	/** All other hosts of the peer list, of every hall. */
 	readonly peers: () => readonly Peer[];
-	/** Asks one peer; `undefined` when it does not answer in time. */
-	readonly ask: (peer: Peer, question: SuspicionsRequest) => Promise<SuspicionsReply | undefined>;
-	/** From 0 up to 1. */
+	/** Sends one peer a message and returns the peer's reply; `undefined` when no valid reply came in time. */
+	readonly sendRequest: (peer: Peer, message: SuspicionsRequest) => Promise<SuspicionsReply | undefined>;
+	/** Returns a random number from 0 (inclusive) to 1 (exclusive). */
 	readonly random: () => number;
-	/** Monotonic ms. */
+	/** The time in monotonic ms. */
 	readonly now: () => number;
 };
 
-/** What hosts tell each other of suspected requests. */
+/** Exchanges suspicions of requests with the peers of a host. */
 type Exchange = Pick<PoisonDetector, 'answer'> & {
-	/** Takes in what this host saw itself, and tells who has to know. */
-	readonly spread: (request: string, seen: Suspicion) => void;
-	/** Tells some peers at random what is blocked, and asks them for what they know; nothing once they were asked, where nothing is blocked. */
+	/** Records what this host observed itself and sends it to the request's collectors; a new block or the end of a block also to the hall. */
+	readonly publish: (request: string, observed: Suspicion) => void;
+	/**
+	Sends the blocked requests to a few random peers and asks for theirs. Does nothing when this host has no blocked request and a peer
+	has already replied with its own.
+	*/
 	readonly gossip: () => void;
 };
 
-/** Creates the exchange of a host that has asked nobody yet. */
-export const createExchange = ({table, learn, self, peers, ask, random, now}: Options): Exchange => {
-	let hasHeardOfBlocked = false;
+/** Creates the exchange of a host that has not asked any peer for its blocked requests yet. */
+export const createExchange = ({table, recordSuspicion, self, peers, sendRequest, random, now}: Options): Exchange => {
+	let hasReceivedBlocked = false;
 
-	const tell = (request: string): SuspicionsRequest['suspicions'] => [tellSuspicion(request, table.get(request) ?? noSuspicion, now())];
+	const toWire = (request: string): SuspicionsRequest['suspicions'] => [toWireSuspicion(request, table.get(request) ?? noSuspicion, now())];
 
-	const tellBlocked = (): SuspicionsRequest['suspicions'] => table.blocked().slice(0, maxTold).flatMap(request => tell(request));
+	const blockedToWire = (): SuspicionsRequest['suspicions'] => table.blockedRequests().slice(0, maxBlockedPerMessage).flatMap(request => toWire(request));
 
-	const talkTo = async (peer: Peer, question: SuspicionsRequest): Promise<void> => {
-		const reply = await ask(peer, question);
-		hasHeardOfBlocked ||= reply !== undefined && question.wantsBlocked;
+	const exchangeWith = async (peer: Peer, message: SuspicionsRequest): Promise<void> => {
+		const reply = await sendRequest(peer, message);
+		hasReceivedBlocked ||= reply !== undefined && message.wantsBlocked;
 		for (const told of reply?.suspicions ?? []) {
-			if (learn(told.request, hearSuspicion(told, now()))) {
-				spreadInHall(told.request);
+			if (recordSuspicion(told.request, fromWireSuspicion(told, now()))) {
+				publishInHall(told.request);
 			}
 		}
 	};
 
-	const talkToAll = (some: readonly Peer[], question: SuspicionsRequest): void => {
-		for (const peer of some) {
-			void talkTo(peer, question);
+	const exchangeWithAll = (recipients: readonly Peer[], message: SuspicionsRequest): void => {
+		for (const peer of recipients) {
+			void exchangeWith(peer, message);
 		}
 	};
 
-	const spreadInHall = (request: string): void => {
-		talkToAll(peers().filter(({hall}) => hall === self().hall), {suspicions: tell(request), wantsBlocked: false});
+	const publishInHall = (request: string): void => {
+		exchangeWithAll(peers().filter(({hall}) => hall === self().hall), {suspicions: toWire(request), wantsBlocked: false});
 	};
 
-	/** Whether who told it knew already what it means, and so has told its own hall. */
-	const hasToldHall = (hall: string, request: string, heard: Suspicion): boolean =>
-		hall === self().hall && isBlockedAt(heard, now()) === (table.blockedUntil(request) !== undefined);
+	/** Whether a peer in `hall` is of this hall and drew the same conclusion from the suspicion that it sent, and so has told this hall. */
+	const hasSenderInformedHall = (hall: string, request: string, received: Suspicion): boolean =>
+		hall === self().hall && isBlockedAt(received, now()) === (table.blockedUntil(request) !== undefined);
 
 	return {
-		spread(request, seen) {
-			if (learn(request, seen)) {
-				spreadInHall(request);
+		publish(request, observed) {
+			if (recordSuspicion(request, observed)) {
+				publishInHall(request);
 			}
 
 			const collectors = collectorsOf(request, [self(), ...peers()]).filter(({address}) => address !== self().address);
-			talkToAll(collectors, {suspicions: tell(request), wantsBlocked: false});
+			exchangeWithAll(collectors, {suspicions: toWire(request), wantsBlocked: false});
 		},
 		answer(hall, {suspicions, wantsBlocked}) {
 			for (const told of suspicions) {
 				const {request} = told;
-				const heard = hearSuspicion(told, now());
-				if (learn(request, heard) && !hasToldHall(hall, request, heard)) {
-					spreadInHall(request);
+				const received = fromWireSuspicion(told, now());
+				if (recordSuspicion(request, received) && !hasSenderInformedHall(hall, request, received)) {
+					publishInHall(request);
 				}
 			}
 
-			return {suspicions: [...suspicions.flatMap(({request}) => tell(request)), ...(wantsBlocked ? tellBlocked() : [])]};
+			return {suspicions: [...suspicions.flatMap(({request}) => toWire(request)), ...(wantsBlocked ? blockedToWire() : [])]};
 		},
 		gossip() {
-			const suspicions = tellBlocked();
-			if (suspicions.length > 0 || !hasHeardOfBlocked) {
-				talkToAll(pickGossipPeers(self().hall, peers(), random), {suspicions, wantsBlocked: true});
+			const suspicions = blockedToWire();
+			if (suspicions.length > 0 || !hasReceivedBlocked) {
+				exchangeWithAll(pickGossipPeers(self().hall, peers(), random), {suspicions, wantsBlocked: true});
 			}
 		},
 	};
--- a/packages/poison/src/lib/create-learner.ts
+++ b/packages/poison/src/lib/create-suspicion-recorder.ts
@@ -2,27 +2,28 @@
 import type {SuspicionTable} from './suspicion-table.js';
 import type {Suspicion} from './suspicion.js';
 
-/** Takes in what was learnt of a request, and tells whether it is blocked or let go by that. */
-export type Learn = (request: string, learnt: Suspicion) => boolean;
+/** Records an update to what is known of a request; returns whether the update blocked or unblocked the request. */
+export type RecordSuspicion = (request: string, update: Suspicion) => boolean;
 
 type Options = {
 	readonly table: SuspicionTable;
+	/** Writes one log line of key=value pairs for an event. */
 	readonly log: (event: string, fields: LogFields) => void;
-	/** Monotonic ms. */
+	/** The time in monotonic ms. */
 	readonly now: () => number;
 };
 
-/** Creates what puts suspicions into the table, and logs when a request is blocked or let go. */
-export const createLearner = ({table, log, now}: Options): Learn => {
+/** Creates the function that adds suspicions to the table and logs when a request is blocked or unblocked. */
+export const createSuspicionRecorder = ({table, log, now}: Options): RecordSuspicion => {
 	const logBlock = (request: string, until: number): void => {
-		const {ends, cleared} = table.get(request)!;
-		const held = [...ends.keys()].filter(endpoint => !cleared.has(endpoint));
-		log('request_blocked', {request, for_ms: Math.round(until - now()), endpoints: held.join(',')});
+		const {crashes, cleared} = table.get(request)!;
+		const counted = [...crashes.keys()].filter(endpoint => !cleared.has(endpoint));
+		log('request_blocked', {request, for_ms: Math.round(until - now()), endpoints: counted.join(',')});
 	};
 
-	return (request, learnt) => {
+	return (request, update) => {
 		const before = table.blockedUntil(request);
-		table.merge(request, learnt);
+		table.merge(request, update);
 		const after = table.blockedUntil(request);
 		if (before === undefined && after !== undefined) {
 			logBlock(request, after);
--- a/packages/poison/src/lib/create-suspicion-table.ts
+++ b/packages/poison/src/lib/create-suspicion-table.ts
@@ -6,55 +6,55 @@
 import type {SuspicionTable} from './suspicion-table.js';
 import type {Suspicion} from './suspicion.js';
 
-/** Requests that are suspected and not blocked: a bound on memory against callers who send another one each time. */
+/** The most requests that are suspected but not blocked: a bound on memory against callers that send a different request each time. */
 const maxSuspected = 2000;
 
-/** Requests that are blocked, kept apart so that nobody can push them out with mere suspicions: a bound on memory. */
+/** The most blocked requests: a bound on memory. They are kept in a cache of their own, so that merely suspected requests cannot evict them. */
 const maxBlocked = 500;
 
-/** For how long the ends of a request are remembered after the last one, and after a block, in ms. */
-const memoryMs = 600_000;
+/** How long a suspicion is kept after its last new entry, or after the end of the block, in ms. */
+const retentionMs = 600_000;
 
-/** The least time that `lru-cache` takes for an entry's life, in ms. */
-const shortestMs = 1;
+/** The shortest time to live that `lru-cache` accepts for an entry, in ms. */
+const minTtlMs = 1;
 
-// Times that only came nearer to the truth change nothing.
-const hasMore = (merged: Suspicion, known: Suspicion): boolean =>
-	[...merged.ends.keys()].some(endpoint => !known.ends.has(endpoint)) || [...merged.cleared].some(endpoint => !known.cleared.has(endpoint));
+// Only new crashes and newly cleared endpoints count: a merge that merely corrects the times of known crashes is not stored.
+const hasNewEntries = (merged: Suspicion, known: Suspicion): boolean =>
+	[...merged.crashes.keys()].some(endpoint => !known.crashes.has(endpoint)) || [...merged.cleared].some(endpoint => !known.cleared.has(endpoint));
 
 /**
 Creates an empty table.
 
-@param now Monotonic ms.
+@param now Returns the time in monotonic ms.
 */
 export const createSuspicionTable = (now: () => number): SuspicionTable => {
-	const life = {ttl: memoryMs, ttlResolution: 0, perf: {now}};
-	const suspected = new LRUCache<string, Suspicion>({max: maxSuspected, ...life});
-	const blocked = new LRUCache<string, Suspicion>({max: maxBlocked, ...life});
+	const cacheOptions = {ttl: retentionMs, ttlResolution: 0, perf: {now}};
+	const suspected = new LRUCache<string, Suspicion>({max: maxSuspected, ...cacheOptions});
+	const blocked = new LRUCache<string, Suspicion>({max: maxBlocked, ...cacheOptions});
 
 	const get = (request: string): Suspicion | undefined => blocked.get(request) ?? suspected.get(request);
 
-	const put = (request: string, suspicion: Suspicion): void => {
+	const setSuspicion = (request: string, suspicion: Suspicion): void => {
 		const until = blockedUntil(suspicion);
-		const [kept, other] = until === undefined ? [suspected, blocked] : [blocked, suspected];
+		const [target, other] = until === undefined ? [suspected, blocked] : [blocked, suspected];
 		other.delete(request);
-		kept.set(request, suspicion, {ttl: Math.max(shortestMs, (until ?? now()) - now() + memoryMs)});
+		target.set(request, suspicion, {ttl: Math.max(minTtlMs, (until ?? now()) - now() + retentionMs)});
 	};
 
 	return {
 		get,
 		isEmpty: () => blocked.size + suspected.size === 0,
-		merge(request, learnt) {
+		merge(request, update) {
 			const known = get(request) ?? noSuspicion;
-			const merged = mergeSuspicions(known, learnt);
-			if (hasMore(merged, known)) {
-				put(request, merged);
+			const merged = mergeSuspicions(known, update);
+			if (hasNewEntries(merged, known)) {
+				setSuspicion(request, merged);
 			}
 		},
 		blockedUntil(request) {
 			const suspicion = blocked.get(request);
 			return suspicion && isBlockedAt(suspicion, now()) ? blockedUntil(suspicion) : undefined;
 		},
-		blocked: () => [...blocked].filter(([, suspicion]) => isBlockedAt(suspicion, now())).map(([request]) => request),
+		blockedRequests: () => [...blocked].filter(([, suspicion]) => isBlockedAt(suspicion, now())).map(([request]) => request),
 	};
 };
--- a/packages/poison/src/lib/merge-suspicions.ts
+++ b/packages/poison/src/lib/merge-suspicions.ts
@@ -1,23 +1,23 @@
-import type {EndedRun} from './ended-run.js';
+import type {CrashedRun} from './crashed-run.js';
 import type {Suspicion} from './suspicion.js';
 
-/** Endpoints remembered for one request: a bound on memory. Ends beyond those that a block doubles with add nothing. */
-const maxEnds = 16;
+/** The most crashes remembered of one request: a bound on memory. Crashes beyond those that still double the block have no effect. */
+const maxCrashes = 16;
 
-// The earlier times are nearer to the truth: each host that passes ages on adds the time that the message took.
-const earlier = (a: EndedRun | undefined, b: EndedRun): EndedRun =>
+// The earlier times are the more accurate ones: a message carries ages, so each transfer makes a time later by the time in transit.
+const earliestTimes = (a: CrashedRun | undefined, b: CrashedRun): CrashedRun =>
 	a ? {sentAt: Math.min(a.sentAt, b.sentAt), endedAt: Math.min(a.endedAt, b.endedAt)} : b;
 
-const newest = (ends: ReadonlyMap<string, EndedRun>): ReadonlyMap<string, EndedRun> =>
-	new Map([...ends].sort(([, a], [, b]) => b.endedAt - a.endedAt).slice(0, maxEnds));
+const keepNewest = (crashes: ReadonlyMap<string, CrashedRun>): ReadonlyMap<string, CrashedRun> =>
+	new Map([...crashes].sort(([, a], [, b]) => b.endedAt - a.endedAt).slice(0, maxCrashes));
 
-/** Puts together what two hosts know of one request. Pure; the same in any order, and when a part is merged twice. */
+/** Merges what two hosts know of one request. Pure, commutative, associative and idempotent. */
 export const mergeSuspicions = (a: Suspicion, b: Suspicion): Suspicion => {
-	const ends = new Map(a.ends);
-	for (const [endpoint, run] of b.ends) {
-		ends.set(endpoint, earlier(ends.get(endpoint), run));
+	const crashes = new Map(a.crashes);
+	for (const [endpoint, run] of b.crashes) {
+		crashes.set(endpoint, earliestTimes(crashes.get(endpoint), run));
 	}
 
-	const kept = newest(ends);
-	return {ends: kept, cleared: new Set([...a.cleared, ...b.cleared].filter(endpoint => kept.has(endpoint)))};
+	const kept = keepNewest(crashes);
+	return {crashes: kept, cleared: new Set([...a.cleared, ...b.cleared].filter(endpoint => kept.has(endpoint)))};
 };
--- a/packages/poison/src/lib/no-suspicion.ts
+++ b/packages/poison/src/lib/no-suspicion.ts
@@ -1,4 +1,4 @@
 import type {Suspicion} from './suspicion.js';
 
-/** Of a request that nothing is held against. */
-export const noSuspicion: Suspicion = {ends: new Map(), cleared: new Set()};
+/** The suspicion of a request that no crash counts against. */
+export const noSuspicion: Suspicion = {crashes: new Map(), cleared: new Set()};
--- a/packages/poison/src/lib/suspicion-table.ts
+++ b/packages/poison/src/lib/suspicion-table.ts
@@ -1,13 +1,13 @@
 import type {Suspicion} from './suspicion.js';
 
-/** What a host knows of suspected requests, by fingerprint. */
+/** The suspicions of requests that a host holds, by the request's fingerprint. */
 export type SuspicionTable = {
 	readonly get: (request: string) => Suspicion | undefined;
 	readonly isEmpty: () => boolean;
-	/** Puts in what was learnt. */
-	readonly merge: (request: string, learnt: Suspicion) => void;
-	/** Until when a request is blocked, in monotonic ms; `undefined` when it is not blocked now. */
+	/** Merges an update into the suspicion of a request. */
+	readonly merge: (request: string, update: Suspicion) => void;
+	/** When the block of a request ends, in monotonic ms; `undefined` when the request is not blocked now. */
 	readonly blockedUntil: (request: string) => number | undefined;
-	/** The requests that are blocked now. */
-	readonly blocked: () => readonly string[];
+	/** The fingerprints of the requests that are blocked now, the most recently used first. */
+	readonly blockedRequests: () => readonly string[];
 };
--- a/packages/poison/src/lib/suspicion.ts
+++ b/packages/poison/src/lib/suspicion.ts
@@ -1,13 +1,16 @@
-import type {EndedRun} from './ended-run.js';
+import type {CrashedRun} from './crashed-run.js';
 
 /**
-What is known of one request and of the endpoints that ended while they ran it.
+What a host knows of one request and of the endpoints that crashed while they ran it.
 
-It is merged with what other hosts know (`mergeSuspicions`), in any order and any number of times.
+Suspicions of different hosts are merged (`mergeSuspicions`), in any order and any number of times.
 */
 export type Suspicion = {
-	/** By the life of the endpoint. */
-	readonly ends: ReadonlyMap<string, EndedRun>;
-	/** Of these, the ones that the request is not to blame for: it came to a good end after all. */
+	/** The runs that ended with a crash, by the id of the endpoint's incarnation. */
+	readonly crashes: ReadonlyMap<string, CrashedRun>;
+	/**
+	The endpoints of `crashes` whose crashes do not count against the request: afterwards a run of the request got a response at a host
+	that knew of these crashes.
+	*/
 	readonly cleared: ReadonlySet<string>;
 };
--- a/packages/poison/src/lost-run.ts
+++ b/packages/poison/src/lost-run.ts
@@ -1,11 +1,12 @@
 import type {SuspectedEndpoint} from './suspected-endpoint.js';
 
-/** A run that an endpoint broke off, with nobody else to blame. */
+/** A run that the endpoint broke off: the caller had not left, and the request's deadline had not passed. */
 export type LostRun = {
-	/** Identifier of the request, for the log. */
+	/** The id of the request, for the log. */
 	readonly id: string;
+	/** Computes the request's fingerprint. */
 	readonly fingerprint: () => string;
 	readonly endpoint: SuspectedEndpoint;
-	/** Monotonic ms. */
+	/** When this host sent the request to the endpoint, in monotonic ms. */
 	readonly sentAt: number;
 };
--- a/packages/poison/src/peer.ts
+++ b/packages/poison/src/peer.ts
@@ -1,4 +1,4 @@
-/** Another host, as far as it matters here. */
+/** A host that suspicions of requests are exchanged with. */
 export type Peer = {
 	/** `ip:port` */
 	readonly address: string;
--- a/packages/poison/src/suspected-endpoint.ts
+++ b/packages/poison/src/suspected-endpoint.ts
@@ -1,5 +1,6 @@
-/** An endpoint that broke a run off. `id` names one life of its process. */
+/** An endpoint that broke off a run. */
 export type SuspectedEndpoint = {
+	/** The id of one incarnation of the endpoint. */
 	readonly id: string;
 	/** `ip:port` */
 	readonly address: string;
--- a/packages/poison/src/suspicions-reply-schema.ts
+++ b/packages/poison/src/suspicions-reply-schema.ts
@@ -1,5 +1,5 @@
 import {z} from 'zod';
-import {toldSuspicionSchema} from './told-suspicion-schema.js';
+import {wireSuspicionSchema} from './wire-suspicion-schema.js';
 
-/** What a peer knows of suspected requests beyond what it was told. */
-export const suspicionsReplySchema = z.object({suspicions: z.array(toldSuspicionSchema)});
+/** The reply to a `suspicions` message: what the peer knows of the requests in the message, and its blocked requests if asked for. */
+export const suspicionsReplySchema = z.object({suspicions: z.array(wireSuspicionSchema)});
--- a/packages/poison/src/suspicions-request-schema.ts
+++ b/packages/poison/src/suspicions-request-schema.ts
@@ -1,13 +1,13 @@
 import {z} from 'zod';
-import {toldSuspicionSchema} from './told-suspicion-schema.js';
+import {wireSuspicionSchema} from './wire-suspicion-schema.js';
 
-/** Requests that one message may tell of. */
+/** The most requests whose suspicions one message may hold. */
 const maxSuspicions = 100;
 
-/** What a host tells a peer of suspected requests, as it is sent; the peer answers with what it knows beyond that. */
+/** The message in which a host sends a peer its suspicions of requests. The peer replies with what it knows itself. */
 export const suspicionsRequestSchema = z.object({
 	type: z.literal('suspicions'),
-	suspicions: z.array(toldSuspicionSchema).max(maxSuspicions),
-	/** Whether to answer with all requests that are blocked. */
+	suspicions: z.array(wireSuspicionSchema).max(maxSuspicions),
+	/** Whether the reply is to hold the requests that the peer has blocked as well. */
 	wantsBlocked: z.boolean(),
 });
--- a/packages/poison/src/suspicions-request.ts
+++ b/packages/poison/src/suspicions-request.ts
@@ -1,8 +1,8 @@
-import type {ToldSuspicion} from './lib/told-suspicion.js';
+import type {WireSuspicion} from './lib/wire-suspicion.js';
 
-/** What a host tells a peer of suspected requests; the peer answers with what it knows beyond that. */
+/** The suspicions of requests that a host sends a peer. The peer replies with what it knows itself. */
 export type SuspicionsRequest = {
-	readonly suspicions: readonly ToldSuspicion[];
-	/** Whether to answer with all requests that are blocked. */
+	readonly suspicions: readonly WireSuspicion[];
+	/** Whether the reply is to hold the requests that the peer has blocked as well. */
 	readonly wantsBlocked: boolean;
 };
--- a/packages/poison/src/test/create-poison-detector.test.ts
+++ b/packages/poison/src/test/create-poison-detector.test.ts
@@ -1,114 +1,114 @@
 import test from 'ava';
 import {createFleet} from './lib/create-fleet.js';
 
-test('ends at three hosts of different halls block the request at all hosts at once', async t => {
+test('crashes observed by three hosts in different halls block the request at all hosts at once', async t => {
 	for (const size of [2, 7, 60]) {
 		const fleet = createFleet(size);
 		for (let end = 0; end < 3; end++) {
-			t.is(fleet.knowing('r'), 0);
-			await fleet.lose(fleet.members[(end * 11) % size]!, 'r', `e${end}`);
+			t.is(fleet.blockingHostCount('r'), 0);
+			await fleet.loseRun(fleet.members[(end * 11) % size]!, 'r', `e${end}`);
 		}
 
-		t.is(fleet.knowing('r'), size);
-		t.is(fleet.knowing('other'), 0);
+		t.is(fleet.blockingHostCount('r'), size);
+		t.is(fleet.blockingHostCount('other'), 0);
 	}
 });
 
-test('a lost run is told to few hosts, however many there are', async t => {
+test('a lost run is reported to two hosts of each hall at most, however many hosts there are', async t => {
 	const fleet = createFleet(60);
-	await fleet.lose(fleet.members[0]!, 'r', 'e0');
-	t.true(fleet.asked() <= 6, `${fleet.asked()} questions: two hosts of each hall`);
+	await fleet.loseRun(fleet.members[0]!, 'r', 'e0');
+	t.true(fleet.sentRequestCount() <= 6, `${fleet.sentRequestCount()} messages: two hosts of each hall`);
 });
 
-test('an end that several hosts saw counts once', async t => {
+test('a crash that several hosts observed counts once', async t => {
 	const fleet = createFleet(7);
 	for (const member of fleet.members) {
-		await fleet.lose(member, 'r', 'e0');
+		await fleet.loseRun(member, 'r', 'e0');
 	}
 
-	t.is(fleet.knowing('r'), 0);
+	t.is(fleet.blockingHostCount('r'), 0);
 });
 
-test('a hall that was cut off hears within three rounds after the cut', async t => {
+test('a hall that was cut off learns of a blocked request within three rounds of gossip after the partition heals', async t => {
 	for (const size of [7, 60]) {
 		const fleet = createFleet(size);
 		const cut = fleet.members.filter(({peer}) => peer.hall === 'hall-2');
 		for (const member of cut) {
-			member.island = 1;
+			member.partition = 1;
 		}
 
 		for (let end = 0; end < 3; end++) {
-			await fleet.lose(fleet.members[end * 3]!, 'r', `e${end}`);
+			await fleet.loseRun(fleet.members[end * 3]!, 'r', `e${end}`);
 		}
 
-		t.is(fleet.knowing('r'), size - cut.length);
+		t.is(fleet.blockingHostCount('r'), size - cut.length);
 		for (const member of cut) {
-			member.island = 0;
+			member.partition = 0;
 		}
 
 		for (let i = 0; i < 3; i++) {
-			await fleet.round();
+			await fleet.gossipRound();
 		}
 
-		t.is(fleet.knowing('r'), size);
+		t.is(fleet.blockingHostCount('r'), size);
 	}
 });
 
-test('a host that starts asks its peers', async t => {
+test('a host that starts learns of a blocked request from its peers', async t => {
 	const fleet = createFleet(7);
 	for (let end = 0; end < 3; end++) {
-		await fleet.lose(fleet.members[end]!, 'r', `e${end}`);
+		await fleet.loseRun(fleet.members[end]!, 'r', `e${end}`);
 	}
 
 	const late = fleet.add();
-	late.life.watch.notePeerList();
+	late.incarnation.detector.notePeerList();
 	await fleet.settle();
-	t.is(fleet.knowing('r'), 8);
+	t.is(fleet.blockingHostCount('r'), 8);
 });
 
-test('a good end anywhere lets the request go everywhere', async t => {
+test('a run that got a response at one host unblocks the request at all hosts', async t => {
 	for (const size of [7, 60]) {
 		const fleet = createFleet(size);
 		for (let end = 0; end < 3; end++) {
-			await fleet.lose(fleet.members[end]!, 'r', `e${end}`);
+			await fleet.loseRun(fleet.members[end]!, 'r', `e${end}`);
 		}
 
-		fleet.members[size - 1]!.life.watch.noteAnsweredRun(() => 'r');
+		fleet.members[size - 1]!.incarnation.detector.noteCompletedRun(() => 'r');
 		await fleet.settle();
-		await fleet.round();
-		await fleet.round();
-		t.is(fleet.knowing('r'), 0);
-		await fleet.lose(fleet.members[0]!, 'r', 'e4');
-		t.is(fleet.knowing('r'), 0, 'what was cleared is not held against it again');
+		await fleet.gossipRound();
+		await fleet.gossipRound();
+		t.is(fleet.blockingHostCount('r'), 0);
+		await fleet.loseRun(fleet.members[0]!, 'r', 'e4');
+		t.is(fleet.blockingHostCount('r'), 0, 'cleared crashes do not count again');
 	}
 });
 
-test('hosts that have nothing to tell ask once and are quiet then', async t => {
+test('hosts that block no request ask their peers once and then send no gossip', async t => {
 	const fleet = createFleet(7);
-	await fleet.round();
-	const asked = fleet.asked();
-	await fleet.round();
-	t.is(fleet.asked(), asked);
-	await fleet.lose(fleet.members[0]!, 'r', 'e0');
-	const afterEnd = fleet.asked();
-	await fleet.round();
-	t.is(fleet.asked(), afterEnd);
+	await fleet.gossipRound();
+	const asked = fleet.sentRequestCount();
+	await fleet.gossipRound();
+	t.is(fleet.sentRequestCount(), asked);
+	await fleet.loseRun(fleet.members[0]!, 'r', 'e0');
+	const afterEnd = fleet.sentRequestCount();
+	await fleet.gossipRound();
+	t.is(fleet.sentRequestCount(), afterEnd);
 });
 
-test('a host goes on asking for what is blocked until a peer has answered that, though one has answered something else', async t => {
+test('a host asks for blocked requests until a peer has replied to that question, even after a reply to another message', async t => {
 	const fleet = createFleet(2);
 	for (let end = 0; end < 3; end++) {
-		await fleet.lose(fleet.members[0]!, 'r', `e${end}`);
+		await fleet.loseRun(fleet.members[0]!, 'r', `e${end}`);
 	}
 
 	const late = fleet.add();
-	late.island = 1;
-	late.life.watch.notePeerList();
+	late.partition = 1;
+	late.incarnation.detector.notePeerList();
 	await fleet.settle();
-	late.island = 0;
-	await fleet.lose(late, 'other', 'e9');
-	t.is(fleet.knowing('r'), 2);
-	late.life.tick();
+	late.partition = 0;
+	await fleet.loseRun(late, 'other', 'e9');
+	t.is(fleet.blockingHostCount('r'), 2);
+	late.incarnation.tick();
 	await fleet.settle();
-	t.is(fleet.knowing('r'), 3);
+	t.is(fleet.blockingHostCount('r'), 3);
 });
--- a/packages/poison/src/test/lib/create-fleet.ts
+++ b/packages/poison/src/test/lib/create-fleet.ts
@@ -2,10 +2,10 @@
 import type {Peer} from '../../peer.js';
 import type {PoisonDetector} from '../../poison-detector.js';
 
-/** Between two rounds of gossip, in ms, as the watch has it. */
+/** The time between two rounds of gossip, in ms, as in `createPoisonDetector`. */
 const roundMs = 1000;
 
-/** Numbers from 0 up to 1 that look random, the same in each run (a linear congruential generator). */
+/** Creates a linear congruential generator: pseudo-random numbers from 0 to 1, the same in each run of the tests. */
 const createRandom = (): (() => number) => {
 	let state = 7;
 	return () => {
@@ -14,36 +14,36 @@
 	};
 };
 
-/** One life of a host. */
-type Life = {readonly watch: PoisonDetector; readonly tick: () => void};
+/** One process lifetime of a host. */
+type Incarnation = {readonly detector: PoisonDetector; readonly tick: () => void};
 
 type Member = {
 	readonly peer: Peer;
-	life: Life;
-	/** Messages pass between hosts of one island. */
-	island: number;
+	incarnation: Incarnation;
+	/** The number of the network partition that the host is in: messages pass only between hosts of the same partition. */
+	partition: number;
 };
 
-/** Hosts in three halls whose messages arrive at once, or not at all; each one's clock shows another time. */
+/** Creates simulated hosts in three halls. Messages between them arrive at once or not at all, and the clock of each host differs. */
 export const createFleet = (size: number) => {
 	const random = createRandom();
 	const members: Member[] = [];
-	let time = 0;
-	let asked = 0;
+	let timeMs = 0;
+	let requestCount = 0;
 
-	const clockOf = (index: number): number => time + (index * 100_000);
+	const clockOf = (index: number): number => timeMs + (index * 100_000);
 
-	const startLife = (index: number, peer: Peer): Life => {
+	const startIncarnation = (index: number, peer: Peer): Incarnation => {
 		let tick = (): void => undefined;
-		const watch = createPoisonDetector({
+		const detector = createPoisonDetector({
 			self: () => peer,
 			peers: () => members.filter(member => member.peer !== peer).map(member => member.peer),
-			async ask(to, question) {
-				asked++;
+			async sendRequest(to, message) {
+				requestCount++;
 				const target = members.find(member => member.peer.address === to.address)!;
-				return members[index]!.island === target.island ? target.life.watch.answer(peer.hall, question) : undefined;
+				return members[index]!.partition === target.partition ? target.incarnation.detector.answer(peer.hall, message) : undefined;
 			},
-			ends: {hasEnded: async () => true},
+			crashDetector: {hasCrashed: async () => true},
 			every(_pauseMs, callback) {
 				tick = callback;
 				return () => undefined;
@@ -53,23 +53,23 @@
 			now: () => clockOf(index),
 		});
 		return {
-			watch,
+			detector,
 			tick() {
 				tick();
 			},
 		};
 	};
 
-	const add = (): Member => {
+	const addHost = (): Member => {
 		const index = members.length;
 		const peer = {address: `10.0.0.${index}:1`, hall: `hall-${index % 3}`};
-		const member: Member = {peer, life: startLife(index, peer), island: 0};
+		const member: Member = {peer, incarnation: startIncarnation(index, peer), partition: 0};
 		members.push(member);
 		return member;
 	};
 
 	for (let i = 0; i < size; i++) {
-		add();
+		addHost();
 	}
 
 	const settle = async (): Promise<void> => {
@@ -78,27 +78,28 @@
 		}
 	};
 
-	const isBlockedAt = ({life}: Member, request: string): boolean => life.watch.blockedUntil(() => request) !== undefined;
+	const isBlockedAt = ({incarnation}: Member, request: string): boolean => incarnation.detector.blockedUntil(() => request) !== undefined;
 
 	return {
 		members,
-		add,
+		add: addHost,
 		settle,
 		isBlockedAt,
-		asked: () => asked,
-		/** Ms since the start of the test. */
-		time: () => time,
-		/** The host starts again and knows nothing; it asks its peers. */
+		/** The number of messages that all hosts have sent to peers. */
+		sentRequestCount: () => requestCount,
+		/** The time since the start of the test, in ms. */
+		time: () => timeMs,
+		/** Restarts a host: it has lost its suspicions and asks its peers for theirs. */
 		async restart(member: Member) {
-			member.life = startLife(members.indexOf(member), member.peer);
-			member.life.watch.notePeerList();
+			member.incarnation = startIncarnation(members.indexOf(member), member.peer);
+			member.incarnation.detector.notePeerList();
 			await settle();
 		},
-		/** The request is sent by a host, and its endpoint ends 100 ms later. */
-		async lose(member: Member, request: string, endpoint: string) {
+		/** Has a host send the request to an endpoint that crashes 100 ms later. */
+		async loseRun(member: Member, request: string, endpoint: string) {
 			const sentAt = clockOf(members.indexOf(member));
-			time += 100;
-			member.life.watch.noteLostRun({
+			timeMs += 100;
+			member.incarnation.detector.noteLostRun({
 				id: 'id',
 				fingerprint: () => request,
 				endpoint: {id: endpoint, address: ''},
@@ -106,14 +107,16 @@
 			});
 			await settle();
 		},
-		async round() {
-			time += roundMs;
-			for (const {life} of members) {
-				life.tick();
+		/** Advances the time by one gossip interval and runs a round of gossip at each host. */
+		async gossipRound() {
+			timeMs += roundMs;
+			for (const {incarnation} of members) {
+				incarnation.tick();
 			}
 
 			await settle();
 		},
-		knowing: (request: string) => members.filter(member => isBlockedAt(member, request)).length,
+		/** The number of hosts that block a request. */
+		blockingHostCount: (request: string) => members.filter(member => isBlockedAt(member, request)).length,
 	};
 };
