--- a/packages/entry/src/lib/host/start-peer-tasks.ts
+++ b/packages/entry/src/lib/host/start-peer-tasks.ts
@@ -93,13 +93,13 @@
 	const limits = createEndpointLimits({
 		self: () => links.self(),
 		others: () => links.others(),
-		isSettled: () => links.isPeerListKnown(),
-		askPermit: async (asked, question) => askPeer(asked, {type: 'permit', ...question}, permitReplySchema),
+		isPeerListKnown: () => links.isPeerListKnown(),
+		requestPermit: async (asked, question) => askPeer(asked, {type: 'permit', ...question}, permitReplySchema),
 		sendLimits: async (asked, message) => askPeer(asked, {type: 'limits', ...message}, limitsReplySchema),
 		noteHost(peer, how) {
 			links.noteHost(peer, how);
 		},
-		onChanged: onLimitChanged,
+		onLimitChanged,
 		count: permits.increment,
 		log,
 		now,
@@ -118,7 +118,7 @@
 		answerLimits: limits.answerLimits,
 		onListed() {
 			poison.notePeerList();
-			limits.peersListed();
+			limits.notePeerList();
 		},
 		log,
 		onLinkReplaced,
--- a/packages/entry/src/lib/request-limits/acquire-permit.ts
+++ b/packages/entry/src/lib/request-limits/acquire-permit.ts
@@ -1,7 +1,10 @@
 import type {ListedEndpoint} from '../../adapter/listed-endpoint.js';
 import type {HostContext} from '../request/host-context.js';
 
-/** Obtains what a request needs to be sent to an endpoint that may have a limit. Where it is not to be had, the endpoint is closed to this host for a while. */
+/**
+Acquires the permit that a request needs to be sent to an endpoint that names a limit; returns whether it was granted. After a refusal
+this host does not choose the endpoint until it is worth asking for a permit again.
+*/
 export const acquirePermit = async ({id, hall}: ListedEndpoint, {limits, chooser}: Pick<HostContext, 'limits' | 'chooser'>): Promise<boolean> => {
 	const permit = await limits.acquire({id, hall});
 	if (!permit.isGranted) {
--- a/packages/entry/src/lib/request-limits/create-endpoint-limits.ts
+++ b/packages/entry/src/lib/request-limits/create-endpoint-limits.ts
@@ -13,41 +13,41 @@
 import type {PermitReply} from './permit-reply.js';
 import type {Permit} from './permit.js';
 
-/** When it is worth asking again while a host does not know the other hosts yet, or was taken for a coordinator and is none, in ms. */
-const unsettledMs = 200;
+/** The time until it is worth asking again, in ms, when a host does not know the peer list yet, or was taken for a coordinator and is none. */
+const unknownPeersRetryMs = 200;
 
 type Options = {
-	/** This host, as it is listed. */
+	/** This host, as it stands in the peer list. */
 	readonly self: () => ListedPeer;
-	/** All other hosts that are listed, of every hall. */
+	/** All other hosts of the peer list, of every hall. */
 	readonly others: () => readonly ListedPeer[];
-	/** Whether the list of hosts is known. */
-	readonly isSettled: () => boolean;
-	/** Asks one peer for a permit; `undefined` when it does not answer in time. */
-	readonly askPermit: (address: string, question: PermitRequest) => Promise<PermitReply | undefined>;
-	/** Tells one peer of limits; `undefined` when it does not answer in time. */
+	/** Whether this host knows the peer list. */
+	readonly isPeerListKnown: () => boolean;
+	/** Requests a permit from one peer; `undefined` when no valid reply came in time. */
+	readonly requestPermit: (address: string, request: PermitRequest) => Promise<PermitReply | undefined>;
+	/** Sends one peer limits of endpoints; `undefined` when no valid reply came in time. */
 	readonly sendLimits: (address: string, message: LimitsMessage) => Promise<LimitsReply | undefined>;
-	/** Takes in a host that showed itself, or that a peer reported. */
+	/** Called with a host that sent this host a message (`direct`) or that a peer named (`reported`), so that it is added to the peer list. */
 	readonly noteHost: (peer: ListedPeer, how: 'direct' | 'reported') => void;
-	/** Called when an endpoint's limit changed: what it was closed for no longer counts. */
-	readonly onChanged: (endpoint: string) => void;
-	/** Counts how permits were obtained. */
+	/** Called when an endpoint's limit changed: a refusal under the old limit no longer excludes the endpoint. */
+	readonly onLimitChanged: (endpoint: string) => void;
+	/** Counts the outcomes of requests for permits. `unanswered`: no coordinator replied. */
 	readonly count: (outcome: 'granted' | 'refused' | 'unanswered') => void;
 	readonly log: Log;
-	/** Monotonic ms. */
+	/** The time in monotonic ms. */
 	readonly now: () => number;
 };
 
 /**
-Creates the task that keeps what all hosts together send to an endpoint within the limit that it names.
+Creates the task that keeps the requests of all hosts together to an endpoint within the limit that the endpoint names.
 
-Two hosts coordinate each endpoint (`coordinatorsOf`): the first hands out permits up to the limit, the second a part of it
-(`permitRate`), to hosts that cannot reach the first. Who reaches neither sends nothing there. The store is not asked: it may be
-away, and each request would cost it a call.
+Two hosts coordinate each endpoint (`coordinatorsOf`). The first issues permits up to the limit; the second issues permits up to a part
+of the limit (`permitRate`) to hosts that cannot reach the first. A host that reaches neither sends the endpoint no request. The store
+takes no part: it may be unavailable, and each request would cost it a call.
 */
 export const createEndpointLimits = (options: Options): EndpointLimits => {
-	const {self, others, isSettled, askPermit, sendLimits, noteHost, onChanged, count, log, now} = options;
-	const table = createLimitTable({onChanged, log, now});
+	const {self, others, isPeerListKnown, requestPermit, sendLimits, noteHost, onLimitChanged, count, log, now} = options;
+	const table = createLimitTable({onLimitChanged, log, now});
 	const issuer = createPermitIssuer(now);
 
 	const coordinators = (endpoint: LimitedEndpoint): readonly string[] => coordinatorsOf(endpoint, [self(), ...others()]);
@@ -69,38 +69,38 @@
 		applyReport: exchange.applyReport,
 		self,
 		issue: issuer.issue,
-		ask: askPermit,
+		sendRequest: requestPermit,
 		noteHost(peer) {
 			noteHost(peer, 'reported');
 		},
 		now,
 	});
 
-	const decide = (endpoint: LimitedEndpoint, ranked: readonly string[]): Permit => {
+	const issuePermit = (endpoint: LimitedEndpoint, ranked: readonly string[]): Permit => {
 		const perSecond = table.perSecond(endpoint.id);
 		if (perSecond === undefined) {
 			return {isGranted: true};
 		}
 
 		const rank = ranked.indexOf(self().address);
-		return isSettled() && rank !== -1 ? issuer.issue(endpoint.id, perSecond, rank) : {isGranted: false, retryAt: now() + unsettledMs};
+		return isPeerListKnown() && rank !== -1 ? issuer.issue(endpoint.id, perSecond, rank) : {isGranted: false, retryAt: now() + unknownPeersRetryMs};
 	};
 
 	return {
-		noteAnswer: exchange.noteAnswer,
-		peersListed: exchange.peersListed,
+		noteResponse: exchange.noteResponse,
+		notePeerList: exchange.notePeerList,
 		answerLimits: exchange.answer,
 		isLimited: endpoint => table.perSecond(endpoint) !== undefined,
 		async acquire(endpoint) {
-			if (!isSettled()) {
-				return {isGranted: false, retryAt: now() + unsettledMs};
+			if (!isPeerListKnown()) {
+				return {isGranted: false, retryAt: now() + unknownPeersRetryMs};
 			}
 
 			const ranked = coordinators(endpoint);
 			const permit = await client.acquire(endpoint, ranked);
 			if (permit === 'unanswered') {
 				count('unanswered');
-				return {isGranted: false, retryAt: client.askAgainAt(ranked)};
+				return {isGranted: false, retryAt: client.retryAt(ranked)};
 			}
 
 			count(permit.isGranted ? 'granted' : 'refused');
@@ -111,7 +111,7 @@
 			exchange.applyReport(limit);
 			const endpoint = {id: limit.endpoint, hall: limit.hall};
 			const ranked = coordinators(endpoint);
-			const permit = decide(endpoint, ranked);
+			const permit = issuePermit(endpoint, ranked);
 			const hosts = new Map([self(), ...others()].map(host => [host.address, host]));
 			return {
 				isGranted: permit.isGranted,
--- a/packages/entry/src/lib/request-limits/create-limit-exchange.ts
+++ b/packages/entry/src/lib/request-limits/create-limit-exchange.ts
@@ -7,35 +7,38 @@
 import type {LimitsMessage} from './limits-message.js';
 import type {LimitsReply} from './limits-reply.js';
 
-/** Between two messages to all about one endpoint, in ms: one that names another limit in each answer must not flood the hosts. */
-const broadcastPauseMs = 1000;
+/** The least time between two broadcasts about one endpoint, in ms: an endpoint that names another limit in each response must not flood the hosts with messages. */
+const minBroadcastIntervalMs = 1000;
 
-/** Endpoints for which it is remembered when all were informed last: a bound on memory. */
+/** The most endpoints whose last broadcast is remembered: a bound on memory. */
 const maxEndpoints = 5000;
 
-/** Peers that a host asks for the limits that they know when it starts. */
-const peersAsked = 3;
+/** The number of peers that a host asks for all their limits when it starts. */
+const initialPeerCount = 3;
 
 type Options = {
 	readonly table: LimitTable;
-	/** This host, as it is listed. */
+	/** This host, as it stands in the peer list. */
 	readonly self: () => ListedPeer;
-	/** All other hosts that are listed, of every hall. */
+	/** All other hosts of the peer list, of every hall. */
 	readonly others: () => readonly ListedPeer[];
-	/** Addresses of the hosts that hand out permits for an endpoint. */
+	/** The addresses (`ip:port`) of the hosts that issue permits for an endpoint, best first. */
 	readonly coordinators: (endpoint: LimitedEndpoint) => readonly string[];
-	/** Informs one peer; `undefined` when it does not answer in time. */
+	/** Sends one peer limits of endpoints; `undefined` when no valid reply came in time. */
 	readonly send: (address: string, message: LimitsMessage) => Promise<LimitsReply | undefined>;
-	/** Takes in a host that showed itself. */
+	/** Called with a host that sent this host a message, so that it is added to the peer list. */
 	readonly noteHost: (peer: ListedPeer) => void;
-	/** Monotonic ms. */
+	/** The time in monotonic ms. */
 	readonly now: () => number;
 };
 
-/** Creates the exchange of a host that has sent nothing yet. A host that notices a change reports it to the coordinators, and these to all. */
+/**
+Creates the exchange of a host that has sent nothing yet. A host that notices the change of a limit reports it to the endpoint's
+coordinators, and these report it to all hosts.
+*/
 export const createLimitExchange = ({table, self, others, coordinators, send, noteHost, now}: Options): LimitExchange => {
-	const informedAt = new LRUCache<string, number>({max: maxEndpoints});
-	let hasAsked = false;
+	const broadcastAt = new LRUCache<string, number>({max: maxEndpoints});
+	let hasRequestedAll = false;
 
 	const sendTo = async (address: string, message: Omit<LimitsMessage, 'sender'>): Promise<void> => {
 		const reply = await send(address, {sender: self().address, ...message});
@@ -45,11 +48,11 @@
 	};
 
 	const broadcast = (endpoint: LimitedEndpoint): void => {
-		if (now() - (informedAt.get(endpoint.id) ?? Number.NEGATIVE_INFINITY) < broadcastPauseMs) {
+		if (now() - (broadcastAt.get(endpoint.id) ?? Number.NEGATIVE_INFINITY) < minBroadcastIntervalMs) {
 			return;
 		}
 
-		informedAt.set(endpoint.id, now());
+		broadcastAt.set(endpoint.id, now());
 		const ranked = coordinators(endpoint);
 		const isCoordinator = ranked.includes(self().address);
 		for (const {address} of others()) {
@@ -66,8 +69,8 @@
 	};
 
 	return {
-		noteAnswer(endpoint, perSecond, askedAt) {
-			if (table.applyAnswer(endpoint, perSecond, askedAt)) {
+		noteResponse(endpoint, perSecond, askedAt) {
+			if (table.applyResponse(endpoint, perSecond, askedAt)) {
 				broadcast(endpoint);
 			}
 		},
@@ -80,14 +83,14 @@
 
 			return {limits: wantsAll ? [...table.reportAll()] : []};
 		},
-		peersListed() {
-			if (hasAsked || others().length === 0) {
+		notePeerList() {
+			if (hasRequestedAll || others().length === 0) {
 				return;
 			}
 
-			hasAsked = true;
-			const asked = rankByRendezvous(self().holder, others().map(({address}) => address)).slice(0, peersAsked);
-			for (const address of asked) {
+			hasRequestedAll = true;
+			const addresses = rankByRendezvous(self().holder, others().map(({address}) => address)).slice(0, initialPeerCount);
+			for (const address of addresses) {
 				void sendTo(address, {limits: [], wantsAll: true});
 			}
 		},
--- a/packages/entry/src/lib/request-limits/create-limit-table.ts
+++ b/packages/entry/src/lib/request-limits/create-limit-table.ts
@@ -4,34 +4,34 @@
 import type {LimitTable} from './limit-table.js';
 import type {LimitedEndpoint} from './limited-endpoint.js';
 
-/** Endpoints whose limits are remembered: a bound on memory. */
+/** The most endpoints whose limits are remembered: a bound on memory. */
 const maxEndpoints = 5000;
 
-/** Limits in one message: a bound on its size. */
+/** The most limits that `reportAll` returns: a bound on the size of a message. */
 const maxReported = 500;
 
 type Entry = {readonly limit: RequestLimit; readonly hall: string};
 
 type Options = {
 	/** Called when an endpoint's limit changed. */
-	readonly onChanged: (endpoint: string) => void;
+	readonly onLimitChanged: (endpoint: string) => void;
 	readonly log: Log;
-	/** Monotonic ms. */
+	/** The time in monotonic ms. */
 	readonly now: () => number;
 };
 
-/** Creates a table that knows no limit. What an endpoint said is kept by its life, so its next life begins without. */
-export const createLimitTable = ({onChanged, log, now}: Options): LimitTable => {
+/** Creates an empty table. Limits are kept by the endpoint's incarnation, so an endpoint that restarts begins without a limit. */
+export const createLimitTable = ({onLimitChanged, log, now}: Options): LimitTable => {
 	const entries = new LRUCache<string, Entry>({max: maxEndpoints});
 
-	const set = ({id, hall}: LimitedEndpoint, said: RequestLimit, by: 'answer' | 'peer'): boolean => {
+	const set = ({id, hall}: LimitedEndpoint, update: RequestLimit, by: 'answer' | 'peer'): boolean => {
 		const before = entries.get(id)?.limit;
-		const limit = stepRequestLimit(before, said);
+		const limit = stepRequestLimit(before, update);
 		entries.set(id, {limit, hall});
 		const isChanged = limit.perSecond !== before?.perSecond;
 		if (isChanged) {
 			log('endpoint_limit', {endpoint: id, per_s: limit.perSecond ?? 'none', by});
-			onChanged(id);
+			onLimitChanged(id);
 		}
 
 		return isChanged;
@@ -50,8 +50,8 @@
 
 	return {
 		perSecond: id => entries.get(id)?.limit.perSecond,
-		applyAnswer(endpoint, perSecond, askedAt) {
-			// Nearly all endpoints never name a limit.
+		applyResponse(endpoint, perSecond, askedAt) {
+			// Nearly all endpoints never name a limit, and those get no entry.
 			return (perSecond !== undefined || entries.has(endpoint.id)) && set(endpoint, {perSecond, askedAt, readAt: now()}, 'answer');
 		},
 		applyReport: ({endpoint: id, hall, perSecond, askedAgoMs, readAgoMs}) =>
--- a/packages/entry/src/lib/request-limits/create-permit-client.ts
+++ b/packages/entry/src/lib/request-limits/create-permit-client.ts
@@ -6,41 +6,45 @@
 import type {PermitReply} from './permit-reply.js';
 import type {Permit} from './permit.js';
 
-/** How long a coordinator that did not answer is not asked, in ms. */
-const silenceMs = 3000;
+/** How long a coordinator that did not reply is not asked again, in ms. */
+const unresponsiveMs = 3000;
 
 type Options = {
 	readonly table: LimitTable;
 	readonly applyReport: LimitExchange['applyReport'];
-	/** This host, as it is listed. */
+	/** This host, as it stands in the peer list. */
 	readonly self: () => ListedPeer;
-	/** Hands out a permit as the coordinator of that rank, from 0. */
+	/** Issues a permit as the coordinator of the given rank, from 0, under a limit of `perSecond` requests. */
 	readonly issue: (endpoint: string, perSecond: number, rank: number) => Permit;
-	/** Asks one peer for a permit; `undefined` when it does not answer in time. */
-	readonly ask: (address: string, question: PermitRequest) => Promise<PermitReply | undefined>;
-	/** Takes in a host that a peer reported. */
+	/** Requests a permit from one peer; `undefined` when no valid reply came in time. */
+	readonly sendRequest: (address: string, request: PermitRequest) => Promise<PermitReply | undefined>;
+	/** Called with a host that a peer named, so that it is added to the peer list. */
 	readonly noteHost: (peer: ListedPeer) => void;
-	/** Monotonic ms. */
+	/** The time in monotonic ms. */
 	readonly now: () => number;
 };
 
 /** Acquires permits from the coordinators of an endpoint. */
 type PermitClient = {
-	/** @param coordinators Their addresses, best first; this host may be one of them. */
+	/**
+	Acquires a permit for one request; `unanswered` when no coordinator could be asked or none replied.
+
+	@param coordinators Their addresses (`ip:port`), best first; this host may be one of them.
+	*/
 	readonly acquire: (endpoint: LimitedEndpoint, coordinators: readonly string[]) => Promise<Permit | 'unanswered'>;
-	/** When one of the coordinators may be asked again, in monotonic ms. */
-	readonly askAgainAt: (coordinators: readonly string[]) => number;
+	/** When the first of the coordinators may be asked again, in monotonic ms. */
+	readonly retryAt: (coordinators: readonly string[]) => number;
 };
 
-/** Creates a client that takes all coordinators to be in reach. */
-export const createPermitClient = ({table, applyReport, self, issue, ask, noteHost, now}: Options): PermitClient => {
-	const silentUntil = new Map<string, number>();
-	const silenceOf = (address: string): number => silentUntil.get(address) ?? 0;
+/** Creates a client to which no coordinator counts as unresponsive yet. */
+export const createPermitClient = ({table, applyReport, self, issue, sendRequest, noteHost, now}: Options): PermitClient => {
+	const unresponsiveUntil = new Map<string, number>();
+	const getUnresponsiveUntil = (address: string): number => unresponsiveUntil.get(address) ?? 0;
 
-	const askOne = async (address: string, endpoint: LimitedEndpoint): Promise<Permit | undefined> => {
-		const reply = await ask(address, {asker: self().address, limit: table.report(endpoint)});
+	const requestPermit = async (address: string, endpoint: LimitedEndpoint): Promise<Permit | undefined> => {
+		const reply = await sendRequest(address, {asker: self().address, limit: table.report(endpoint)});
 		if (!reply) {
-			silentUntil.set(address, now() + silenceMs);
+			unresponsiveUntil.set(address, now() + unresponsiveMs);
 			return undefined;
 		}
 
@@ -64,7 +68,7 @@
 					return issue(endpoint.id, perSecond, rank);
 				}
 
-				const permit = silenceOf(address) > now() ? undefined : await askOne(address, endpoint);
+				const permit = getUnresponsiveUntil(address) > now() ? undefined : await requestPermit(address, endpoint);
 				if (permit) {
 					return permit;
 				}
@@ -72,6 +76,6 @@
 
 			return 'unanswered';
 		},
-		askAgainAt: coordinators => Math.min(...coordinators.map(address => silenceOf(address))),
+		retryAt: coordinators => Math.min(...coordinators.map(address => getUnresponsiveUntil(address))),
 	};
 };
--- a/packages/entry/src/lib/request-limits/create-permit-issuer.ts
+++ b/packages/entry/src/lib/request-limits/create-permit-issuer.ts
@@ -2,19 +2,24 @@
 import {LRUCache} from 'lru-cache';
 import type {Permit} from './permit.js';
 
-/** Endpoints for which permits are counted: a bound on memory. */
+/** The most endpoints whose permits are counted: a bound on memory. */
 const maxEndpoints = 5000;
 
-/** Hands out permits for the endpoints that this host coordinates. */
+/** Issues permits for the endpoints that this host coordinates. */
 type PermitIssuer = {
-	/** @param rank This host's rank among the coordinators of the endpoint, from 0. */
+	/**
+	Issues a permit, or refuses it with the time of the next one.
+
+	@param perSecond The endpoint's limit, in requests a second of all hosts together.
+	@param rank This host's rank among the coordinators of the endpoint, from 0.
+	*/
 	readonly issue: (endpoint: string, perSecond: number, rank: number) => Permit;
 };
 
 /**
-Creates an issuer that has handed out nothing.
+Creates an issuer that has issued no permit yet.
 
-@param now Monotonic ms.
+@param now Returns the time in monotonic ms.
 */
 export const createPermitIssuer = (now: () => number): PermitIssuer => {
 	const buckets = new LRUCache<string, TokenBucket>({max: maxEndpoints});
--- a/packages/entry/src/lib/request-limits/limit-exchange.ts
+++ b/packages/entry/src/lib/request-limits/limit-exchange.ts
@@ -4,14 +4,17 @@
 import type {LimitedEndpoint} from './limited-endpoint.js';
 import type {LimitReport} from './limit-report.js';
 
-/** What hosts tell each other of the limits of endpoints. */
+/** Exchanges the limits of endpoints with the peers of a host. */
 export type LimitExchange = {
-	/** Takes in what an answer of an endpoint said of its limit. `askedAt`: when the request was sent, in monotonic ms. */
-	readonly noteAnswer: (endpoint: LimitedEndpoint, perSecond: number | undefined, askedAt: number) => void;
-	/** Takes in what a peer reported of one limit. */
+	/**
+	Records the limit that a response of an endpoint named, in requests a second; `undefined` when it named none. `askedAt`: when the
+	request was sent, in monotonic ms.
+	*/
+	readonly noteResponse: (endpoint: LimitedEndpoint, perSecond: number | undefined, askedAt: number) => void;
+	/** Records a limit that a peer reported. */
 	readonly applyReport: (report: LimitReport) => void;
-	/** Answers a peer that reports limits, or asks for them. */
+	/** Replies to a peer that reports limits or asks for them. */
 	readonly answer: (sender: ListedPeer, message: Omit<LimitsMessage, 'sender'>) => LimitsReply;
-	/** Asks peers for the limits that they know, once there are any. */
-	readonly peersListed: () => void;
+	/** Called when a peer list came: asks a few peers for all their limits, once, as soon as there are other hosts. */
+	readonly notePeerList: () => void;
 };
--- a/packages/entry/src/lib/request-limits/limit-report-schema.ts
+++ b/packages/entry/src/lib/request-limits/limit-report-schema.ts
@@ -1,14 +1,14 @@
 import {z} from 'zod';
 
-/** What hosts tell each other of an endpoint's limit on requests. An age in place of a time: their clocks share nothing. */
+/** An endpoint's limit on requests as hosts report it to each other. It holds ages in place of times, because the monotonic clocks of two hosts are unrelated. */
 export const limitReportSchema = z.object({
-	/** The life of the endpoint. */
+	/** The id of the endpoint's incarnation. */
 	endpoint: z.string().max(200),
 	/** The hall of the endpoint. */
 	hall: z.string().max(100),
-	/** Requests a second of all hosts together; without one, the endpoint no longer names a limit. */
+	/** The limit, in requests a second of all hosts together; absent when the endpoint no longer names a limit. */
 	perSecond: z.number().nonnegative().optional(),
-	/** It said so after the first and before the second. */
+	/** The endpoint named the limit between these two ages: when the request was sent and when its response was read. */
 	askedAgoMs: z.number().nonnegative(),
 	readAgoMs: z.number().nonnegative(),
 });
--- a/packages/entry/src/lib/request-limits/limit-report.ts
+++ b/packages/entry/src/lib/request-limits/limit-report.ts
@@ -1,5 +1,5 @@
 import type {z} from 'zod';
 import type {limitReportSchema} from './limit-report-schema.js';
 
-/** What a host tells a peer of an endpoint's limit on requests. */
+/** An endpoint's limit on requests as a host reports it to a peer. */
 export type LimitReport = Readonly<z.infer<typeof limitReportSchema>>;
--- a/packages/entry/src/lib/request-limits/limit-table.ts
+++ b/packages/entry/src/lib/request-limits/limit-table.ts
@@ -1,16 +1,16 @@
 import type {LimitedEndpoint} from './limited-endpoint.js';
 import type {LimitReport} from './limit-report.js';
 
-/** What this host knows of the limits of endpoints. */
+/** The limits of endpoints that a host knows. */
 export type LimitTable = {
-	/** The limit that holds now, in requests a second; `undefined` where there is none. */
+	/** An endpoint's current limit, in requests a second of all hosts together; `undefined` when there is none. */
 	readonly perSecond: (endpoint: string) => number | undefined;
-	/** Takes in what an answer of the endpoint said; `true` where that changed the limit. `askedAt`: when the request was sent, in monotonic ms. */
-	readonly applyAnswer: (endpoint: LimitedEndpoint, perSecond: number | undefined, askedAt: number) => boolean;
-	/** Takes in what a peer reported; `true` where that changed the limit. */
+	/** Records the limit that a response of the endpoint named; returns whether the limit changed. `askedAt`: when the request was sent, in monotonic ms. */
+	readonly applyResponse: (endpoint: LimitedEndpoint, perSecond: number | undefined, askedAt: number) => boolean;
+	/** Records a limit that a peer reported; returns whether the limit changed. */
 	readonly applyReport: (report: LimitReport) => boolean;
-	/** An endpoint's limit as it is reported to peers. */
+	/** An endpoint's limit as it is reported to peers. The table must hold the endpoint. */
 	readonly report: (endpoint: LimitedEndpoint) => LimitReport;
-	/** All that hold now, as they are reported to peers; the last used first. */
+	/** All current limits as they are reported to peers, the most recently used first; 500 at most. */
 	readonly reportAll: () => readonly LimitReport[];
 };
--- a/packages/entry/src/lib/request-limits/limits-message.ts
+++ b/packages/entry/src/lib/request-limits/limits-message.ts
@@ -1,5 +1,5 @@
 import type {z} from 'zod';
 import type {limitsMessageSchema} from './limits-message-schema.js';
 
-/** Tells a peer of limits of endpoints. */
+/** Reports limits of endpoints to a peer, and may ask for the peer's. */
 export type LimitsMessage = Readonly<Omit<z.infer<typeof limitsMessageSchema>, 'type'>>;
--- a/packages/entry/src/lib/request-limits/permit-reply.ts
+++ b/packages/entry/src/lib/request-limits/permit-reply.ts
@@ -1,5 +1,5 @@
 import type {z} from 'zod';
 import type {permitReplySchema} from './permit-reply-schema.js';
 
-/** A coordinator's reply to a question for a permit. */
+/** A coordinator's reply to a request for a permit. */
 export type PermitReply = Readonly<z.infer<typeof permitReplySchema>>;
--- a/packages/entry/src/lib/request-limits/permit-request.ts
+++ b/packages/entry/src/lib/request-limits/permit-request.ts
@@ -1,5 +1,5 @@
 import type {z} from 'zod';
 import type {permitRequestSchema} from './permit-request-schema.js';
 
-/** Asks a coordinator for a permit for one request. */
+/** Requests a permit from a coordinator for one request to an endpoint. */
 export type PermitRequest = Readonly<Omit<z.infer<typeof permitRequestSchema>, 'type'>>;
--- a/packages/entry/src/lib/request-limits/permit.ts
+++ b/packages/entry/src/lib/request-limits/permit.ts
@@ -1,5 +1,5 @@
-/** Whether a request may be sent to an endpoint, as far as the endpoint's limit goes. */
+/** Whether an endpoint's limit allows one request to be sent to it. */
 export type Permit =
 	| {readonly isGranted: true}
-	/** When it is worth asking again, in monotonic ms. */
+	/** `retryAt`: when it is worth asking again, in monotonic ms. */
 	| {readonly isGranted: false; readonly retryAt: number};
--- a/packages/entry/src/lib/request/host-context.ts
+++ b/packages/entry/src/lib/request/host-context.ts
@@ -37,7 +37,7 @@
 	readonly unreadTimeout: Bounds['unreadTimeout'];
 	readonly headerNames: HeaderNames;
 	readonly chooser: EndpointChooser;
-	readonly limits: Pick<EndpointLimits, 'noteAnswer' | 'isLimited' | 'acquire'>;
+	readonly limits: Pick<EndpointLimits, 'noteResponse' | 'isLimited' | 'acquire'>;
 	readonly halls: HallMonitor;
 	readonly poison: PoisonDetector;
 	readonly rights: RightsManager;
--- a/packages/entry/src/lib/request/run-attempt.ts
+++ b/packages/entry/src/lib/request/run-attempt.ts
@@ -60,7 +60,7 @@
 		onHead(head) {
 			const limit = readRequestLimit(head.headers, host.headerNames);
 			if (limit) {
-				host.limits.noteAnswer(endpoint, limit.perSecond, sentAt);
+				host.limits.noteResponse(endpoint, limit.perSecond, sentAt);
 			}
 
 			const notice = readNotice(head, host.headerNames, host.now());
--- a/packages/entry/src/test/endpoint-limit.test.ts
+++ b/packages/entry/src/test/endpoint-limit.test.ts
@@ -1,4 +1,4 @@
-/** An endpoint that names a limit on its requests got more from all hosts together, though each of them sent few. */
+/** Guards against an endpoint that names a limit on its requests getting more than that from all hosts together, though each host sends few. */
 import test from 'ava';
 import type {ListedPeer} from '../adapter/listed-peer.js';
 import {callHost} from './lib/call-host.js';
@@ -21,8 +21,8 @@
 
 type Scope = {teardown: (end: () => Promise<void>) => void};
 
-/** Six hosts, settled, before endpoints that answer as told. Each host has had an answer of each endpoint. */
-const launch = async (t: Scope, answers: readonly Answer[]) => {
+/** Starts six hosts that know each other and endpoints that respond as given. Each host has had a response from each endpoint. */
+const startFleet = async (t: Scope, answers: readonly Answer[]) => {
 	const peers = new Map<string, ListedPeer>();
 	const clock = createHandClock();
 	const endpoints = await Promise.all(answers.map(async (answer, index) => startEndpoint(`e${index}`, answer)));
@@ -61,7 +61,7 @@
 };
 
 test('hosts that each send little to an endpoint do not exceed the limit that it names for all of them', async t => {
-	const {clock, endpoints, sendFromAll} = await launch(t, [limitedTo('1'), ok]);
+	const {clock, endpoints, sendFromAll} = await startFleet(t, [limitedTo('1'), ok]);
 	const [limited, other] = endpoints.map(({seen}) => seen);
 	const before = limited!.length;
 	const statuses: number[] = [];
@@ -78,8 +78,8 @@
 	t.true(other!.length > 0);
 });
 
-test('a refusal of the endpoint, and the repeat elsewhere, take a permit too', async t => {
-	const {clock, endpoints, sendFromAll} = await launch(t, [(_req, res) => {
+test('a request that a limited endpoint refuses takes a permit too, and is retried at another endpoint', async t => {
+	const {clock, endpoints, sendFromAll} = await startFleet(t, [(_req, res) => {
 		res.writeHead(503, {[headerNames.requestLimit]: '1', [headerNames.notRun]: '1'});
 		res.end();
 	}, ok]);
@@ -87,22 +87,22 @@
 	const before = seen.length;
 	for (let second = 0; second < 4; second++) {
 		clock.advance(1000);
-		const answers = await sendFromAll();
-		t.true(answers.every(({status}) => status === 200));
+		const responses = await sendFromAll();
+		t.true(responses.every(({status}) => status === 200));
 	}
 
 	t.true(seen.length - before <= 5, `${seen.length - before} requests in 4 s`);
 });
 
-test('callers that do not fit into the limits of all endpoints are refused at once, and told when they do', async t => {
-	const {clock, endpoints, sendFromAll} = await launch(t, [limitedTo('0.5')]);
+test('requests beyond the limits of all endpoints are refused at once, with the time of a retry', async t => {
+	const {clock, endpoints, sendFromAll} = await startFleet(t, [limitedTo('0.5')]);
 	const {seen} = endpoints[0]!;
 	clock.advance(10_000);
 	await sendFromAll();
 	const before = seen.length;
-	const answers = await sendFromAll();
+	const responses = await sendFromAll();
 	t.is(seen.length, before);
-	for (const {status, headers, body} of answers) {
+	for (const {status, headers, body} of responses) {
 		t.is(status, 503);
 		t.like(JSON.parse(body), {error: {code: 'endpoints_limited', ran: 'not_run'}});
 		const seconds = Number(headers['retry-after']);
@@ -110,9 +110,9 @@
 	}
 });
 
-test('an endpoint that no longer names a limit gets what it got before', async t => {
+test('an endpoint that no longer names a limit gets all requests again', async t => {
 	let limit: string | undefined = '1';
-	const {hosts, clock, endpoints, sendFromAll} = await launch(t, [(req, res) => {
+	const {hosts, clock, endpoints, sendFromAll} = await startFleet(t, [(req, res) => {
 		(limit === undefined ? ok : limitedTo(limit))(req, res);
 	}]);
 	limit = undefined;
@@ -121,30 +121,30 @@
 	await sendFromAll();
 	await Promise.all(hosts.map(async ({logged}) => logged('endpoint_limit', ({per_s: perSecond}) => perSecond === 'none')));
 	const before = endpoints[0]!.seen.length;
-	const answers = [...await sendFromAll(), ...await sendFromAll()];
-	t.true(answers.every(({status}) => status === 200));
-	t.is(endpoints[0]!.seen.length - before, answers.length);
+	const responses = [...await sendFromAll(), ...await sendFromAll()];
+	t.true(responses.every(({status}) => status === 200));
+	t.is(endpoints[0]!.seen.length - before, responses.length);
 });
 
-test('the limit of an endpoint does not bind its next life', async t => {
-	const {hosts, endpoints, sendFromAll} = await launch(t, [limitedTo('0')]);
+test('the limit of an endpoint does not apply to its next incarnation', async t => {
+	const {hosts, endpoints, sendFromAll} = await startFleet(t, [limitedTo('0')]);
 	const {listed, seen} = endpoints[0]!;
 	const before = seen.length;
 	for (const {entry} of hosts) {
 		entry.listEndpoints([{...listed, id: 'e0 in its next life'}]);
 	}
 
-	const answers = await sendFromAll();
-	t.true(answers.every(({status}) => status === 200));
+	const responses = await sendFromAll();
+	t.true(responses.every(({status}) => status === 200));
 	t.is(seen.length - before, hostCount);
 });
 
 for (const value of ['-1', 'abc', '', 'NaN', '1e3', '1,5', '0x1', '99999999999999999999']) {
-	test(`a limit that makes no sense, or binds nobody, is none: ${value}`, async t => {
-		const {endpoints, sendFromAll} = await launch(t, [limitedTo(value)]);
+	test(`an invalid limit, or one too high to bind, counts as none: ${value}`, async t => {
+		const {endpoints, sendFromAll} = await startFleet(t, [limitedTo(value)]);
 		const before = endpoints[0]!.seen.length;
-		const answers = [...await sendFromAll(), ...await sendFromAll()];
-		t.true(answers.every(({status}) => status === 200));
-		t.is(endpoints[0]!.seen.length - before, answers.length);
+		const responses = [...await sendFromAll(), ...await sendFromAll()];
+		t.true(responses.every(({status}) => status === 200));
+		t.is(endpoints[0]!.seen.length - before, responses.length);
 	});
 }
