--- a/packages/poison/src/create-crash-detector.ts
+++ b/packages/poison/src/create-crash-detector.ts
@@ -3,7 +3,7 @@
 import type {SuspectedEndpoint} from './suspected-endpoint.js';
 import type {CrashDetector} from './crash-detector.js';
 
-/** The most endpoint incarnations that are remembered as crashed: a bound on memory. One burst of lost runs asks for the same few. */
+/** The most endpoint incarnations that are remembered as crashed: a bound on memory. The lost runs of one burst are checked together. */
 const maxCrashed = 1000;
 
 /**
--- a/packages/poison/src/lib/create-exchange.ts
+++ b/packages/poison/src/lib/create-exchange.ts
@@ -52,9 +52,9 @@
 	const exchangeWith = async (peer: Peer, message: SuspicionsRequest): Promise<void> => {
 		const reply = await sendRequest(peer, message);
 		hasReceivedBlocked ||= reply !== undefined && message.wantsBlocked;
-		for (const told of reply?.suspicions ?? []) {
-			if (recordSuspicion(told.request, fromWireSuspicion(told, now()))) {
-				publishInHall(told.request);
+		for (const wireSuspicion of reply?.suspicions ?? []) {
+			if (recordSuspicion(wireSuspicion.request, fromWireSuspicion(wireSuspicion, now()))) {
+				publishInHall(wireSuspicion.request);
 			}
 		}
 	};
@@ -83,9 +83,9 @@
 			exchangeWithAll(collectors, {suspicions: toWire(request), wantsBlocked: false});
 		},
 		answer(hall, {suspicions, wantsBlocked}) {
-			for (const told of suspicions) {
-				const {request} = told;
-				const received = fromWireSuspicion(told, now());
+			for (const wireSuspicion of suspicions) {
+				const {request} = wireSuspicion;
+				const received = fromWireSuspicion(wireSuspicion, now());
 				if (recordSuspicion(request, received) && !hasSenderInformedHall(hall, request, received)) {
 					publishInHall(request);
 				}
--- a/packages/poison/src/lib/merge-suspicions.ts
+++ b/packages/poison/src/lib/merge-suspicions.ts
@@ -11,7 +11,10 @@
 const keepNewest = (crashes: ReadonlyMap<string, CrashedRun>): ReadonlyMap<string, CrashedRun> =>
 	new Map([...crashes].sort(([, a], [, b]) => b.endedAt - a.endedAt).slice(0, maxCrashes));
 
-/** Merges what two hosts know of one request. Pure, commutative, associative and idempotent. */
+/**
+Merges what two hosts know of one request. While no more than `maxCrashes` crashes are known, the order of merges and repeated merges
+make no difference. Pure.
+*/
 export const mergeSuspicions = (a: Suspicion, b: Suspicion): Suspicion => {
 	const crashes = new Map(a.crashes);
 	for (const [endpoint, run] of b.crashes) {
--- a/packages/poison/src/test/create-poison-detector.test.ts
+++ b/packages/poison/src/test/create-poison-detector.test.ts
@@ -60,7 +60,7 @@
 		await fleet.loseRun(fleet.members[end]!, 'r', `e${end}`);
 	}
 
-	const late = fleet.add();
+	const late = fleet.addHost();
 	late.incarnation.detector.notePeerList();
 	await fleet.settle();
 	t.is(fleet.blockingHostCount('r'), 8);
@@ -101,7 +101,7 @@
 		await fleet.loseRun(fleet.members[0]!, 'r', `e${end}`);
 	}
 
-	const late = fleet.add();
+	const late = fleet.addHost();
 	late.partition = 1;
 	late.incarnation.detector.notePeerList();
 	await fleet.settle();
--- a/packages/poison/src/test/lib/create-fleet.ts
+++ b/packages/poison/src/test/lib/create-fleet.ts
@@ -82,7 +82,7 @@
 
 	return {
 		members,
-		add: addHost,
+		addHost,
 		settle,
 		isBlockedAt,
 		/** The number of messages that all hosts have sent to peers. */
--- a/packages/poison/src/test/partitions-and-restarts.test.ts
+++ b/packages/poison/src/test/partitions-and-restarts.test.ts
@@ -11,7 +11,7 @@
 /** The most further endpoints that one request may crash, through hosts in touch, after its third crash. */
 const maxLateCrashes = 3;
 
-/** The steps of one property run: at a second or less each, they are over well before a first block ends. */
+/** The number of steps of one scenario. Each takes a second at most, so a scenario is over well before a first block ends. */
 const stepCount = 40;
 
 const anyStep = fc.oneof(
