--- a/packages/entry/src/lib/host/start-peer-tasks.ts
+++ b/packages/entry/src/lib/host/start-peer-tasks.ts
@@ -1,6 +1,6 @@
 import {createEventCounter, probeAddress} from '@deckwheel/host-kit';
 import {
-	createEndpointEnds, createPoisonDetector, suspicionsReplySchema, type PoisonDetector,
+	createCrashDetector, createPoisonDetector, suspicionsReplySchema, type PoisonDetector,
 } from '@deckwheel/poison';
 import type {z} from 'zod';
 import type {Log} from '../../adapter/log.js';
@@ -85,8 +85,8 @@
 	const poison = createPoisonDetector({
 		self: () => links.self(),
 		peers: () => links.others(),
-		ask: async ({address: peerAddress}, request) => requestFromPeer(peerAddress, {type: 'suspicions', ...request}, suspicionsReplySchema),
-		ends: createEndpointEnds(async endpoint => probeAddress(endpoint, timeouts.probeMs)),
+		sendRequest: async ({address: peerAddress}, request) => requestFromPeer(peerAddress, {type: 'suspicions', ...request}, suspicionsReplySchema),
+		crashDetector: createCrashDetector(async endpoint => probeAddress(endpoint, timeouts.probeMs)),
 		every: repeatByTimer,
 		random: Math.random,
 		log,
@@ -96,13 +96,13 @@
 	const limits = createEndpointLimits({
 		self: () => links.self(),
 		others: () => links.others(),
-		isSettled: () => links.isPeerListKnown(),
-		askPermit: async (peerAddress, request) => requestFromPeer(peerAddress, {type: 'permit', ...request}, permitReplySchema),
+		isPeerListKnown: () => links.isPeerListKnown(),
+		requestPermit: async (peerAddress, request) => requestFromPeer(peerAddress, {type: 'permit', ...request}, permitReplySchema),
 		sendLimits: async (peerAddress, message) => requestFromPeer(peerAddress, {type: 'limits', ...message}, limitsReplySchema),
 		noteHost(peer, how) {
 			links.noteHost(peer, how);
 		},
-		onChanged: onLimitChanged,
+		onLimitChanged,
 		count: permitCounter.increment,
 		log,
 		now,
@@ -121,7 +121,7 @@
 		answerLimits: limits.answerLimits,
 		onListed() {
 			poison.notePeerList();
-			limits.peersListed();
+			limits.notePeerList();
 		},
 		log,
 		onLinkReplaced,
