--- a/packages/entry/src/adapter/bounds.ts
+++ b/packages/entry/src/adapter/bounds.ts
@@ -1,24 +1,25 @@
-/** What the operators promise their callers and platform. */
+/** Bounds that operators set on what an entry host does, to keep what they promise their callers and their platform. */
 export type Bounds = {
-	/** Repeats that a service may get for each request of the window. */
+	/** Retries that this host may send to a service for each of its requests within the window. */
 	readonly retryRatio: number;
+	/** The length of the window, in ms. */
 	readonly retryWindowMs: number;
-	/** What an endpoint may get within a second while it warms up, from all hosts together; `undefined` where no bound is set. */
+	/** The requests that all hosts together may send to an endpoint within a second while it warms up; `undefined` where no bound is set. */
 	readonly warmup?: {
-		/** Times the requests a second that its service states. */
+		/** The factor by which the requests may exceed `warmupPerSecond` of the endpoint's service. */
 		readonly overage: number;
-		/** Requests beyond that. */
+		/** The requests allowed beyond that product. */
 		readonly slack: number;
 	};
-	/** How long callers wait for a request to be read before they send it elsewhere; `undefined` where that is not known. */
+	/** How long callers wait for a host to read their request before they send it to another host: the shorter of two times. `undefined` where that is not known. */
 	readonly unreadTimeout?: {
-		/** In ms. */
+		/** A fixed time, in ms. */
 		readonly ms: number;
-		/** Of the time that the caller has, 0 to 1. The shorter one counts. */
+		/** A share of the time that the caller waits for the response, 0 to 1. */
 		readonly share: number;
 	};
-	/** How late an event of a stream may be passed on, in ms. */
+	/** The longest delay with which a host may relay an event of a stream, in ms. */
 	readonly relayMs: number;
-	/** From the signal to stop until the process is killed, in ms. */
+	/** The time from the signal to stop a host until its process is killed, in ms. */
 	readonly stopGraceMs: number;
 };
--- a/packages/entry/src/adapter/change-status.ts
+++ b/packages/entry/src/adapter/change-status.ts
@@ -1,8 +1,8 @@
-/** What a host that follows the store itself may learn from a peer of its hall. */
+/** Whether a topic of the store changed, as a peer of the hall that follows the topic in the store reports it. */
 export type ChangeStatus =
-	/** Something changed after the revision that was asked about. */
+	/** Something in the topic changed after the revision that this host asked about. */
 	| {readonly type: 'changed'}
-	/** Nothing had changed a moment ago; the peer knows the topic whole up to the revision `at` of the store. */
+	/** Nothing in the topic changed after that revision: the peer knows all its changes up to the revision `at` of the store. */
 	| {readonly type: 'unchanged'; readonly at: number}
-	/** No peer could be asked that reaches the store: this host has to look itself. */
+	/** No peer that has recently reached the store replied: this host has to read the store itself. */
 	| {readonly type: 'unknown'};
--- a/packages/entry/src/adapter/header-names.ts
+++ b/packages/entry/src/adapter/header-names.ts
@@ -1,23 +1,26 @@
-/** Names of the headers that callers, hosts and endpoints use, in lower case. */
+/** Names of the HTTP headers that callers, hosts and endpoints use, in lower case. */
 export type HeaderNames = {
 	readonly requestId: string;
-	/** Milliseconds that the caller still waits. */
+	/** How long the caller still waits for the response, in ms. */
 	readonly deadline: string;
 	readonly apiKey: string;
 	readonly organisation: string;
-	/** Proof that an endpoint made this answer. */
+	/** Set by an endpoint in its responses: proves that the endpoint made the response. */
 	readonly stamp: string;
-	/** Said by an endpoint that did not run the request. */
+	/** Set in the response to a request that was not run. */
 	readonly notRun: string;
-	/** `1` in the answers of an endpoint that ends before long. */
+	/** `1` in the responses of an endpoint that will shut down soon. */
 	readonly leaving: string;
-	/** Requests a second, as a decimal number, that an endpoint takes from all hosts together for as long as it says so. */
+	/** The requests a second that an endpoint accepts from all hosts together while its responses carry this header, as a decimal number. */
 	readonly requestLimit: string;
-	/** The endpoint that a request is meant for; any other answers 421. */
+	/** The `instance` of the endpoint that a request is meant for; any other endpoint responds with 421. */
 	readonly expectedEndpoint: string;
+	/** The tokens of the prompt and the most tokens of the output, as `1460,80`. */
 	readonly tokenCount: string;
+	/** The parts of the prompt in order, with their tokens, as `ID:TOKENS,ID:TOKENS`. */
 	readonly prefix: string;
+	/** The last event of a stream that the caller has received, after which an endpoint resumes the stream. */
 	readonly lastEventId: string;
-	/** Headers that callers may not set. */
+	/** Headers that callers may not set: hosts do not forward them. */
 	readonly reserved: readonly string[];
 };
--- a/packages/entry/src/adapter/listed-endpoint.ts
+++ b/packages/entry/src/adapter/listed-endpoint.ts
@@ -1,9 +1,9 @@
 import type {EndpointInfo} from '@deckwheel/routing';
 
-/** An endpoint as the platform lists it. `id` names one life of its process: all that a host remembers of an endpoint is kept by it. */
+/** An endpoint as the platform lists it. `id` names one incarnation of the endpoint: hosts keep all that they remember of an endpoint under it. */
 export type ListedEndpoint = EndpointInfo & {
-	/** The name by which requests are addressed to it; one life after the other may bear it. */
+	/** The name by which requests are addressed to the endpoint. Successive incarnations may have the same one. */
 	readonly instance: string;
-	/** `ip:port`. It may be given to another service's endpoint once this one has ended. */
+	/** `ip:port`. The platform may give it to an endpoint of another service after this endpoint has shut down. */
 	readonly address: string;
 };
--- a/packages/entry/src/adapter/listed-peer.ts
+++ b/packages/entry/src/adapter/listed-peer.ts
@@ -1,8 +1,8 @@
-/** Another entry host, and where its peers reach it. */
+/** An entry host as the peer directory lists it for the other entry hosts. */
 export type ListedPeer = {
-	/** The name of this life of the host, as a holder of rights. */
+	/** The name of this incarnation of the host as a holder of rights. */
 	readonly holder: string;
-	/** `ip:port` */
+	/** Where peers reach the host, as `ip:port`. */
 	readonly address: string;
 	readonly hall: string;
 };
--- a/packages/entry/src/adapter/log.ts
+++ b/packages/entry/src/adapter/log.ts
@@ -1,4 +1,4 @@
 import type {LogFields} from '@deckwheel/host-kit';
 
-/** Writes one line of key=value pairs for an event. It never blocks and never throws. */
+/** Writes one log line of key=value pairs for an event. Never blocks and never throws. */
 export type Log = (event: string, fields?: LogFields) => void;
--- a/packages/entry/src/adapter/rights-store.ts
+++ b/packages/entry/src/adapter/rights-store.ts
@@ -3,11 +3,12 @@
 import type {StoredRights} from './stored-rights.js';
 import type {RightsStoreError} from './rights-store-error.js';
 
-/** Where the rights on budgets are recorded: one object a slot, written under the condition that it has not changed. */
+/** The store of rights on budgets: one object for each slot. A write succeeds only if the object has not changed since it was read. */
 export type RightsStore = {
+	/** Reads the object of a slot. An object that does not exist yet is returned as an empty one with revision 0. */
 	readonly read: (slot: string) => Promise<Result<StoredRights, RightsStoreError>>;
-	/** What a cheap look at the object shows; it may be older than the object is. `undefined` when it shows nothing in time. */
+	/** A cheap read of the object, which may be stale. `undefined` when the store returns no object within `timeoutMs`. */
 	readonly peek: (slot: string, timeoutMs: number) => Promise<StoredRights | undefined>;
-	/** `revision` is that of the object as last seen; 0 makes it. */
+	/** Writes the object of a slot. `revision` is the one at which this host last read the object; 0 creates the object. */
 	readonly write: (slot: string, rights: RightsObject, revision: number) => Promise<Result<StoredRights, RightsStoreError>>;
 };
--- a/packages/entry/src/adapter/schedule.ts
+++ b/packages/entry/src/adapter/schedule.ts
@@ -1,2 +1,2 @@
-/** Calls back after some time, in ms. Returns what cancels it. */
+/** Calls a callback once after a delay, in ms. Returns a function that cancels the call. */
 export type Schedule = (delayMs: number, callback: () => void) => () => void;
--- a/packages/entry/src/adapter/store-changes.ts
+++ b/packages/entry/src/adapter/store-changes.ts
@@ -3,26 +3,30 @@
 /**
 Change notifications between the hosts of a hall: whether something changed in the store.
 
-In a large hall one host follows each topic in the store and the others ask it. No data passes between hosts: a host that
-learns of a change reads it from the store. So a host that is wrong or cut off costs its peers a moment, and never a
-false state.
+In a large hall, one host follows each topic in the store, and the other hosts ask that host for changes. No data passes between
+hosts: a host that learns of a change reads the changed objects from the store. So a host that is wrong or cut off delays its
+peers, but never gives them a false state.
 */
 export type StoreChanges = {
-	/** Whether this host has to follow a topic in the store for its hall, or for itself. */
+	/** Whether this host has to follow a topic in the store: for its hall, or for itself in a hall so small that each host follows every topic. */
 	readonly isFollower: (topic: string) => boolean;
 	/**
-	Tells peers how this host sees a topic: known whole up to the store's revision `at`, last changed at `changedAt` or before.
-	`undefined` when it cannot follow the topic now. It counts until `validUntil`, in elapsed ms, or until it is told anew.
+	Publishes to peers what this host has seen of a topic: it knows all changes up to the store's revision `at`, and the last one was
+	at the revision `changedAt` or before. This holds until the instant `validUntil`, in elapsed ms, or until the next call.
+
+	@param seen `undefined` while this host cannot follow the topic.
 	*/
 	readonly publish: (topic: string, seen: {readonly at: number; readonly changedAt: number; readonly validUntil?: number} | undefined) => void;
-	/** Notes that the store was in reach of this host, at `at` in elapsed ms. */
+	/** Notes that this host reached the store at the instant `at`, in elapsed ms. */
 	readonly noteStoreAnswer: (at: number) => void;
-	/** Whether peers rely on this host at the moment. */
+	/** Whether peers have recently asked this host for changes. */
 	readonly hasSubscribers: () => boolean;
 	/**
-	Asks whether a topic changed after a revision. Answers after `holdMs` at the latest, plus a moment.
+	Asks the peer that follows a topic whether the topic changed after a revision. The peer replies once it sees a change, or after
+	`holdMs`, in ms.
 
-	@param freshMs How long ago the store may have answered the peer, in ms.
+	@param after The revision up to which this host knows all changes of the topic.
+	@param freshMs How long ago the peer may have reached the store for its reply to count, in ms.
 	*/
 	readonly waitForChange: (topic: string, after: number, holdMs: number, freshMs: number) => Promise<ChangeStatus>;
 };
--- a/packages/entry/src/config/organisation.ts
+++ b/packages/entry/src/config/organisation.ts
@@ -1,10 +1,10 @@
-/** An organisation that prepaid a budget. */
+/** An organisation, whose requests may be charged to a prepaid budget. */
 export type Organisation = {
 	readonly name: string;
-	/** Prepaid tokens: everything ever paid in. `undefined` where nothing is counted. */
+	/** All tokens that the organisation has ever prepaid. `undefined` for an organisation whose tokens are not counted. */
 	readonly limit: number | undefined;
-	/** The regions whose endpoints may run its requests, beside what the route allows; `undefined` where all may. */
+	/** The regions whose endpoints may run the organisation's requests, as far as the route allows them too; `undefined` where the organisation allows all regions. */
 	readonly allowedRegions?: readonly string[];
-	/** 0 is the most urgent; comes before the route's. No rule uses it yet (docs/open-points.md). */
+	/** The priority of the organisation's requests, 0 being the most urgent. It is meant to override the route's priority, but no code uses it yet (docs/open-points.md). */
 	readonly priority: number | undefined;
 };
--- a/packages/entry/src/config/service.ts
+++ b/packages/entry/src/config/service.ts
@@ -1,12 +1,12 @@
-/** What the configuration says of a group of equal endpoints. */
+/** The configuration of a service, which is a group of interchangeable endpoints. */
 export type Service = {
 	readonly name: string;
-	/** Connections that one endpoint accepts, from all hosts together. No rule uses it yet: pools stay far below it (docs/open-points.md). */
+	/** The connections that one endpoint accepts from all hosts together. No code uses it yet, because the connection pools stay far below it (docs/open-points.md). */
 	readonly maxConnections: number;
-	/** How long an endpoint warms up, in ms; 0 where it needs no time. */
+	/** How long an endpoint warms up, in ms; 0 where endpoints need no warm-up. */
 	readonly warmupMs: number;
-	/** Requests a second that an endpoint bears meanwhile; 0 where nothing is said of it. */
+	/** The requests a second that an endpoint can take while it warms up; 0 where the configuration states no rate. */
 	readonly warmupPerSecond: number;
-	/** The most tokens that one event of a stream may hold; 0 where the service is no model engine. */
+	/** The maximum number of tokens in one event of a stream; 0 where the service is no model engine. */
 	readonly tokensPerEvent: number;
 };
--- a/packages/entry/src/config/weighted-service.ts
+++ b/packages/entry/src/config/weighted-service.ts
@@ -1,6 +1,6 @@
-/** One service that a route sends to, and the part of the requests it gets. */
+/** A service to which a route sends requests, and the share of the requests that the service gets. */
 export type WeightedService = {
 	readonly service: string;
-	/** Relative to the other services of the route; above 0. */
+	/** The share of the requests, relative to the weights of the other services of the route. Above 0. */
 	readonly weight: number;
 };
