--- a/packages/entry/src/adapter/bounds.ts
+++ b/packages/entry/src/adapter/bounds.ts
@@ -11,7 +11,10 @@
 		/** The requests allowed beyond that product. */
 		readonly slack: number;
 	};
-	/** How long callers wait for a host to read their request before they send it to another host: the shorter of two times. `undefined` where that is not known. */
+	/**
+	How long callers wait for a host to read their request before they send it to another host: the shorter of two times. `undefined`
+	where that is not known.
+	*/
 	readonly unreadTimeout?: {
 		/** A fixed time, in ms. */
 		readonly ms: number;
--- a/packages/entry/src/config/service.ts
+++ b/packages/entry/src/config/service.ts
@@ -1,7 +1,10 @@
 /** The configuration of a service, which is a group of interchangeable endpoints. */
 export type Service = {
 	readonly name: string;
-	/** The connections that one endpoint accepts from all hosts together. No code uses it yet, because the connection pools stay far below it (docs/open-points.md). */
+	/**
+	The connections that one endpoint accepts from all hosts together. No code uses it yet, because the connection pools stay far
+	below it (docs/open-points.md).
+	*/
 	readonly maxConnections: number;
 	/** How long an endpoint warms up, in ms; 0 where endpoints need no warm-up. */
 	readonly warmupMs: number;
--- a/packages/entry/src/default-timeouts.ts
+++ b/packages/entry/src/default-timeouts.ts
@@ -1,8 +1,10 @@
 import type {Timeouts} from './timeouts.js';
 
 /**
-What a host waits for others, in ms. Links within a fleet answer in milliseconds; a peer may have to draw from the store
-first. A longer time finds more rights or saves a connection, a shorter one leaves a caller more time to come back.
+The timeouts of a host unless its options set others, in ms.
+
+Replies within a fleet take a few milliseconds, but a peer may have to draw rights from the store before it replies. With longer
+timeouts a host finds more rights and keeps connections that are slow to open. Shorter ones leave a caller more time to retry.
 */
 export const defaultTimeouts: Timeouts = {
 	connectMs: 250,
--- a/packages/entry/src/entry-host-options.ts
+++ b/packages/entry/src/entry-host-options.ts
@@ -6,25 +6,34 @@
 import type {RightsStore} from './adapter/rights-store.js';
 import type {Schedule} from './adapter/schedule.js';
 
-/** What an entry host needs to start. */
+/** The options of an entry host. */
 export type EntryHostOptions = {
+	/** The name of the host. */
 	readonly host: string;
+	/** The name of the data hall in which the host runs. */
 	readonly hall: string;
-	/** Addresses as `ip:port`. With port 0, the system picks a free one. */
+	/**
+	The addresses at which the host listens for callers, for readiness checks of the balancer, and for peers, as `ip:port`. With port
+	0, the system picks a free port.
+	*/
 	readonly listen: {readonly callers: string; readonly ready: string; readonly peers: string};
 	readonly bounds: Bounds;
-	/** Whether operators may order halls to be evacuated: then a host is not ready before it knows their orders. By default not. */
+	/** Whether operators may order the evacuation of halls. The host is then not ready until `evacuateHalls` was called. By default `false`. */
 	readonly hasEvacuations?: boolean;
 	readonly headers: HeaderNames;
 	readonly rightsStore: RightsStore;
+	/** The directory in which this host finds its peers. */
 	readonly peers: PeerDirectory;
 	readonly log: Log;
 	/** By default `defaultTimeouts`. */
 	readonly timeouts?: Timeouts;
-	/** Ends requests at their deadlines, and moves a stop on; by default with the process's own timers. */
+	/** Schedules the ends of requests at their deadlines and the steps of a planned shutdown. By default by the timers of the process. */
 	readonly schedule?: Schedule;
-	/** Monotonic ms; by default the process's own clock. */
+	/** Returns monotonic ms. By default the clock of the process. */
 	readonly now?: () => number;
-	/** Elapsed ms, suspensions of the machine included: what others said, and kept connections, grow old by it. By default as `now`. */
+	/**
+	Returns elapsed ms, which include the time for which the machine was suspended. The age of kept connections and of what the store
+	or peers told this host is counted by it. By default `now`.
+	*/
 	readonly elapsed?: () => number;
 };
--- a/packages/entry/src/entry-host.ts
+++ b/packages/entry/src/entry-host.ts
@@ -4,20 +4,26 @@
 
 /** A running entry host. */
 export type EntryHost = {
-	/** Where it listens, as `ip:port`: the ports taken, where the options left them open. */
+	/**
+	The addresses at which the host listens for callers and for readiness checks, as `ip:port`. Port 0 of the options is replaced by
+	the port that the system picked.
+	*/
 	readonly addresses: {readonly callers: string; readonly ready: string};
-	/** Change notifications between hosts: the adapter asks them before it calls the store, and tells them what it saw. */
+	/** Change notifications between hosts. The adapter waits for them before it calls the store, and publishes what it saw in the store. */
 	readonly storeChanges: StoreChanges;
-	/** Takes a configuration into force, unless a newer one is. */
+	/** Puts a configuration into force, unless the one in force has the same or a later version. */
 	readonly configure: (config: FleetConfig) => void;
-	/** Replaces the list of endpoints. */
+	/** Replaces the list of endpoints that the platform lists. */
 	readonly listEndpoints: (endpoints: readonly ListedEndpoint[]) => void;
-	/** Replaces the halls whose endpoints are to get nothing more. What runs there may end. */
+	/** Replaces the set of evacuated halls. Their endpoints get no new requests; requests that already run there may finish. */
 	readonly evacuateHalls: (halls: ReadonlySet<string>) => void;
-	/** Notes that the platform's store came back from an older copy: what was written there last may be gone. */
+	/** Notes that the platform's store was restored from an older copy, so that its latest writes may be lost. */
 	readonly storeRestored: () => void;
-	/** Ends as planned: sends on nothing that may outlast the stop, finishes what runs, gives rights back. A second call waits for the first. */
+	/**
+	Shuts the host down as planned: forwards no request that may outlast the shutdown, finishes open requests, and gives rights back.
+	A second call waits for the first.
+	*/
 	readonly stop: () => Promise<void>;
-	/** Ends at once, as a death of the process would: nothing is finished or given back. */
+	/** Ends the host at once, as a crash of its process would: no request is finished and no rights are given back. */
 	readonly kill: () => Promise<void>;
 };
--- a/packages/entry/src/metrics/event-metrics.ts
+++ b/packages/entry/src/metrics/event-metrics.ts
@@ -1,9 +1,9 @@
 import type {Log} from '../adapter/log.js';
 
-/** Figures of a host, counted from its log. */
+/** Metrics of a host, computed from its log events. */
 export type EventMetrics = {
-	/** Counts an event. */
+	/** Updates the metrics from a log event. */
 	readonly note: Log;
-	/** All figures, in the text format of Prometheus. */
+	/** Returns all metrics in the text format of Prometheus. */
 	readonly text: () => Promise<string>;
 };
--- a/packages/entry/src/metrics/serve-metrics.ts
+++ b/packages/entry/src/metrics/serve-metrics.ts
@@ -3,7 +3,10 @@
 import type {Log} from '../adapter/log.js';
 import type {EventMetrics} from './event-metrics.js';
 
-/** Serves figures as text at an `ip:port`. A host goes on without them when the address is taken. */
+/**
+Serves metrics in the text format of Prometheus over HTTP at an `ip:port`. If the server fails, as when the address is taken, it
+logs that and the host runs without served metrics.
+*/
 export const serveMetrics = (address: string, metrics: EventMetrics, log: Log): void => {
 	const {host, port} = splitAddress(address);
 	const server = createServer(async (_req, res) => {
--- a/packages/entry/src/start-entry-host.ts
+++ b/packages/entry/src/start-entry-host.ts
@@ -27,25 +27,27 @@
 import {serveRequest} from './lib/request/serve-request.js';
 import {createConnectionPool} from './lib/sending/create-connection-pool.js';
 
-const budgetsOf = ({organisationsByKey}: FleetConfig): number =>
+const countBudgets = ({organisationsByKey}: FleetConfig): number =>
 	new Set([...organisationsByKey.values()].map(({name}) => name)).size;
 
 const monotonicMs = (): number => performance.now();
 
 /**
-Starts an entry host. It is ready once it has a configuration and a list of endpoints.
+Starts an entry host. The host is ready once it has a configuration, a list of endpoints and, where operators may order evacuations,
+the set of evacuated halls. While it is overloaded, stops, or lets new connections wait too long, it is not ready.
 
-It owns the configuration in force; each other state belongs to one of the tasks that are put together here.
+This function holds the configuration in force, the evacuated halls and the plan of a shutdown. All other state belongs to the
+components that it connects.
 */
 export const startEntryHost = async (options: EntryHostOptions): Promise<EntryHost> => {
 	const {host, hall, listen, bounds, hasEvacuations = false, headers: headerNames, rightsStore, peers: directory, log} = options;
 	const {timeouts = defaultTimeouts, schedule = scheduleByTimer, now = monotonicMs, elapsed = now} = options;
 	const holder = newHolderName(host);
-	const open = createRequestCounter(now);
+	const openRequests = createRequestCounter(now);
 	const pool = createConnectionPool(elapsed);
 	const peerTasks = startPeerTasks({
 		host, hall, holder, address: listen.peers, rightsStore, directory, timeouts, log, now, elapsed,
-		// What silenced a link to a peer has mostly silenced kept connections to endpoints as well.
+		// A fault that silences a link to a peer usually silences kept connections to endpoints as well.
 		onLinkReplaced() {
 			pool.keepOnly(new Set());
 		},
@@ -56,7 +58,7 @@
 	const {rights} = peerTasks;
 	let evacuatedHalls: ReadonlySet<string> | undefined = hasEvacuations ? undefined : new Set();
 	const health = startHealthMonitor({
-		hall, isEvacuated: name => evacuatedHalls?.has(name) ?? false, bounds, timeouts, open: open.count, log, now,
+		hall, isEvacuated: name => evacuatedHalls?.has(name) ?? false, bounds, timeouts, open: openRequests.count, log, now,
 	});
 	const {overload, halls} = health;
 	let config: FleetConfig | undefined;
@@ -77,26 +79,26 @@
 			log('endpoints_listed', {count: used.length, leaving: used.filter(({isLeaving}) => isLeaving).length, unused});
 		},
 	});
-	let stop: ShutdownPlan | undefined;
-	let stopped: Promise<void> | undefined;
-	const ending = new AbortController();
-	// Each open request listens to it; more than ten of them are no leak.
-	setMaxListeners(0, ending.signal);
+	let shutdownPlan: ShutdownPlan | undefined;
+	let shutdownDone: Promise<void> | undefined;
+	const shutdownController = new AbortController();
+	// Each open request listens to this signal, so more than ten listeners are no leak.
+	setMaxListeners(0, shutdownController.signal);
 
-	// Callers whose connections are closed come back through the balancer, which sends them to hosts that are ready.
-	const isClosing = (): boolean => stop !== undefined || overload.isOverloaded();
+	// Callers whose connections this host closes reconnect through the balancer, which sends them to hosts that are ready.
+	const isClosingConnections = (): boolean => shutdownPlan !== undefined || overload.isOverloaded();
 
 	const connections = createCallerConnections(now);
-	const acceptQueueMonitor = createAcceptQueueMonitor({isBusy: () => open.count() > 0, onMeasured: createWaitLog({open: open.count, log, now}), now});
-	const closesAfter = (res: ServerResponse): boolean => isClosing() && connections.isLastOpen(res);
+	const acceptQueueMonitor = createAcceptQueueMonitor({isBusy: () => openRequests.count() > 0, onMeasured: createWaitLog({open: openRequests.count, log, now}), now});
+	const closesAfter = (res: ServerResponse): boolean => isClosingConnections() && connections.isLastOpen(res);
 
-	// Nothing is sent before it is known which halls are to get nothing.
-	const services: HostContext = {
+	// No request is forwarded before this host knows which halls are evacuated: until then, it serves requests as if it had no configuration.
+	const hostContext: HostContext = {
 		config: () => evacuatedHalls === undefined ? undefined : config,
 		closesAfter,
-		isStopping: () => stop !== undefined,
-		shutdownSignal: ending.signal,
-		mayForward: deadline => mayForward({stop, deadline, now: now()}),
+		isStopping: () => shutdownPlan !== undefined,
+		shutdownSignal: shutdownController.signal,
+		mayForward: deadline => mayForward({stop: shutdownPlan, deadline, now: now()}),
 		isOverloaded: overload.isOverloaded,
 		isShedding: overload.isShedding,
 		waitedMs: connections.waitedMs,
@@ -117,44 +119,44 @@
 	};
 	const servers = await startServers({
 		listen,
-		open,
+		open: openRequests,
 		connections,
 		onConnection(socket) {
 			acceptQueueMonitor.accepted(socket);
 			connections.accepted(socket, acceptQueueMonitor.waitedMs());
 		},
-		serve: async (req, res) => serveRequest(req, res, services),
-		isReady: () => config !== undefined && listing.isKnown() && evacuatedHalls !== undefined && !isClosing() && !acceptQueueMonitor.isQueueLong(),
+		serve: async (req, res) => serveRequest(req, res, hostContext),
+		isReady: () => config !== undefined && listing.isKnown() && evacuatedHalls !== undefined && !isClosingConnections() && !acceptQueueMonitor.isQueueLong(),
 		closesAfter,
 	});
 	acceptQueueMonitor.start(servers.addresses.callers);
 	log('started', {holder, hall});
 
-	const runStop = async (plan: ShutdownPlan): Promise<void> => {
-		stop = plan;
-		const cancelCut = schedule(plan.cutBy - now(), () => {
-			ending.abort();
+	const executeShutdownPlan = async (plan: ShutdownPlan): Promise<void> => {
+		shutdownPlan = plan;
+		const cancelAbort = schedule(plan.cutBy - now(), () => {
+			shutdownController.abort();
 		});
 		await runShutdown({
 			servers,
 			rights,
-			open,
+			open: openRequests,
 			plan,
 			log,
 			waitUntil: async time => new Promise<void>(resolve => {
 				schedule(time - now(), resolve);
 			}),
 			sendNoMore() {
-				stop = {...plan, isOver: true};
+				shutdownPlan = {...plan, isOver: true};
 			},
 			async endRequests() {
-				ending.abort();
-				if (open.count() > 0) {
-					await open.untilNone(plan.closeBy);
+				shutdownController.abort();
+				if (openRequests.count() > 0) {
+					await openRequests.untilNone(plan.closeBy);
 				}
 			},
 		});
-		cancelCut();
+		cancelAbort();
 		acceptQueueMonitor.close();
 		health.close();
 		await peerTasks.close();
@@ -171,7 +173,7 @@
 			config = next;
 			servers.limit(next.limits);
 			rights.configure(next);
-			log('configured', {version: next.version, routes: next.routes.length, budgets: budgetsOf(next)});
+			log('configured', {version: next.version, routes: next.routes.length, budgets: countBudgets(next)});
 			listing.review();
 		},
 		listEndpoints: listing.list,
@@ -196,8 +198,8 @@
 			await peerTasks.close();
 		},
 		async stop() {
-			stopped ??= runStop(planShutdown(now(), bounds.stopGraceMs));
-			await stopped;
+			shutdownDone ??= executeShutdownPlan(planShutdown(now(), bounds.stopGraceMs));
+			await shutdownDone;
 		},
 	};
 };
--- a/packages/entry/src/test/create-event-metrics.test.ts
+++ b/packages/entry/src/test/create-event-metrics.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {createEventMetrics} from '../metrics/create-event-metrics.js';
 
-test('what is logged is counted', async t => {
+test('log events are counted in the metrics, with their latency, arrivals and tokens', async t => {
 	const metrics = createEventMetrics();
 	metrics.note('request_answered', {
 		ms: 30, route: 'r', arrivals: 2, used: 100,
--- a/packages/entry/src/timeouts.ts
+++ b/packages/entry/src/timeouts.ts
@@ -1,13 +1,13 @@
-/** How long a host waits for others before it goes on without them, in ms. Tests on slow machines wait longer. */
+/** How long a host waits for endpoints, peers and the store before it proceeds without them, in ms. Tests on slow machines set longer times. */
 export type Timeouts = {
 	/** For an endpoint to accept a connection. */
 	readonly connectMs: number;
-	/** For an endpoint of another hall to accept a connection that only shows whether the hall is in reach. */
+	/** For an address to accept a connection that only probes it: whether another hall is in reach, or whether an endpoint still runs. */
 	readonly probeMs: number;
-	/** For one peer's answer to a question for rights. */
+	/** For a peer's reply to a request, as for a loan of rights or a permit. */
 	readonly peerMs: number;
-	/** For the store, before peers are asked as well. */
+	/** For a draw of rights from the store, before this host borrows from other holders. */
 	readonly storeMs: number;
-	/** For the holders of other halls, while a client of this host waits. */
+	/** For loans from other holders, while a peer that borrows from this host waits. */
 	readonly gatherMs: number;
 };
