--- a/packages/entry/src/test/cold-endpoint.test.ts
+++ b/packages/entry/src/test/cold-endpoint.test.ts
@@ -8,7 +8,7 @@
 import test from 'ava';
 import type {ListedPeer} from '../adapter/listed-peer.js';
 import {callHost} from './lib/call-host.js';
-import {createHandClock} from './lib/create-hand-clock.js';
+import {createManualClock} from './lib/create-manual-clock.js';
 import {createMemoryRightsStore} from './lib/memory-rights-store.js';
 import {startEndpoint, type Answer} from './lib/start-endpoint.js';
 import {makeConfig, startHost} from './lib/start-host.js';
@@ -38,7 +38,7 @@
 
 test('a cold endpoint gets no more requests from all hosts together than it can take, and the others are refused at once', async t => {
 	const peers = new Map<string, ListedPeer>();
-	const clock = createHandClock();
+	const clock = createManualClock();
 	const endpoint = await startEndpoint('cold', createColdResponder());
 	const store = createMemoryRightsStore();
 	const hosts = await Promise.all(Array.from({length: hostCount}, async (_, index) => startHost(store, {
--- a/packages/entry/src/test/endpoint-limit.test.ts
+++ b/packages/entry/src/test/endpoint-limit.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import type {ListedPeer} from '../adapter/listed-peer.js';
 import {callHost} from './lib/call-host.js';
-import {createHandClock} from './lib/create-hand-clock.js';
+import {createManualClock} from './lib/create-manual-clock.js';
 import {headerNames} from './lib/header-names.js';
 import {createMemoryRightsStore} from './lib/memory-rights-store.js';
 import {startEndpoint, type Answer} from './lib/start-endpoint.js';
@@ -24,7 +24,7 @@
 /** Six hosts, settled, before endpoints that answer as told. Each host has had an answer of each endpoint. */
 const launch = async (t: Scope, answers: readonly Answer[]) => {
 	const peers = new Map<string, ListedPeer>();
-	const clock = createHandClock();
+	const clock = createManualClock();
 	const endpoints = await Promise.all(answers.map(async (answer, index) => startEndpoint(`e${index}`, answer)));
 	const store = createMemoryRightsStore();
 	const hosts = await Promise.all(Array.from({length: hostCount}, async (_, index) => startHost(store, {
--- a/packages/entry/src/test/endpoint-notices.test.ts
+++ b/packages/entry/src/test/endpoint-notices.test.ts
@@ -10,7 +10,7 @@
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import test from 'ava';
 import {callHost} from './lib/call-host.js';
-import {createHandClock} from './lib/create-hand-clock.js';
+import {createManualClock} from './lib/create-manual-clock.js';
 import {createMemoryRightsStore} from './lib/memory-rights-store.js';
 import {headerNames} from './lib/header-names.js';
 import {startEndpoint, type Answer, type TestEndpoint} from './lib/start-endpoint.js';
@@ -49,7 +49,7 @@
 type Scope = {teardown: (end: () => Promise<void>) => void};
 
 const startFleet = async (t: Scope, answers: readonly Answer[], kind: 'repeatable' | 'stream' = 'repeatable') => {
-	const clock = createHandClock();
+	const clock = createManualClock();
 	const endpoints = await Promise.all(answers.map(async (answer, index) => startEndpoint(`e${index}`, answer)));
 	const host = await startHost(createMemoryRightsStore(), {now: clock.now, schedule: clock.schedule});
 	t.teardown(async () => {
--- a/packages/entry/src/test/evacuated-halls.test.ts
+++ b/packages/entry/src/test/evacuated-halls.test.ts
@@ -8,7 +8,7 @@
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import test from 'ava';
 import {callHost} from './lib/call-host.js';
-import {createHandClock} from './lib/create-hand-clock.js';
+import {createManualClock} from './lib/create-manual-clock.js';
 import {createMemoryRightsStore} from './lib/memory-rights-store.js';
 import {startEndpoint, type Answer, type TestEndpoint} from './lib/start-endpoint.js';
 import {makeConfig, makeRoute, startHost} from './lib/start-host.js';
@@ -30,7 +30,7 @@
 type ConfigChanges = Parameters<typeof makeConfig>[0];
 
 const startHostAndEndpoints = async (t: TestScope, {near = respondOk, far = respondOk, config = {}}: {near?: Answer; far?: Answer; config?: ConfigChanges} = {}) => {
-	const clock = createHandClock();
+	const clock = createManualClock();
 	const [nearEndpoint, farEndpoint] = await Promise.all([startEndpoint('near', near, 'hall-a'), startEndpoint('far', far, 'hall-b')]);
 	const host = await startHost(createMemoryRightsStore(), {now: clock.now, schedule: clock.schedule, warmup: {overage: 1.5, slack: 5}});
 	t.teardown(async () => {
--- a/packages/entry/src/test/lib/create-random.ts
+++ b/packages/entry/src/test/lib/create-random.ts
@@ -1,7 +1,7 @@
 import {hash32} from '@deckwheel/core';
 
-/** Numbers from 0 up to 1 that follow from a seed. */
+/** Creates a generator of pseudo-random numbers of at least 0 and below 1. The same seed gives the same sequence. */
 export const createRandom = (seed: number): (() => number) => {
-	let drawn = 0;
-	return () => hash32(`${seed} ${drawn++}`) / (2 ** 32);
+	let callCount = 0;
+	return () => hash32(`${seed} ${callCount++}`) / (2 ** 32);
 };
--- a/packages/entry/src/test/lib/play-death-of-all.ts
+++ b/packages/entry/src/test/lib/play-death-of-all.ts
@@ -171,7 +171,7 @@
 		}
 
 		for (let ms = 0; ms < stepMs; ms++) {
-			await timers.passMs();
+			await timers.advanceOneMs();
 		}
 	}
 
--- a/packages/entry/src/test/lib/start-virtual-timers.ts
+++ b/packages/entry/src/test/lib/start-virtual-timers.ts
@@ -1,25 +1,25 @@
 import {syncBuiltinESMExports} from 'node:module';
 import promises from 'node:timers/promises';
 
-type Timer = {readonly at: number; readonly run: () => void; readonly everyMs: number | undefined};
+type Timer = {readonly dueAt: number; readonly callback: () => void; readonly intervalMs: number | undefined};
 
-/** Timers that go by virtual time. */
+/** Timers that run on virtual time, which stands still until a test advances it. */
 type VirtualTimers = {
-	/** Virtual ms. */
+	/** The virtual time since the start of the timers, in ms. */
 	readonly now: () => number;
-	/** Lets 1 ms pass, and all that follows from it without a timer. */
-	readonly passMs: () => Promise<void>;
-	/** Brings the real timers back. */
+	/** Advances the virtual time by 1 ms, calls the callbacks that are due, and then waits one turn of the event loop for the work that they started. */
+	readonly advanceOneMs: () => Promise<void>;
+	/** Restores the real timers. */
 	readonly stop: () => void;
 };
 
 /**
-Replaces the timers of this process by ones of virtual time, until they are stopped.
+Replaces the timers of this process by timers that run on virtual time, until `stop` is called.
 
-Those of `node:test` in Node 20 lose timers when others are cleared.
+The mock timers of `node:test` are not used, because in Node 20 they lose timers when other timers are cleared.
 */
 export const startVirtualTimers = (): VirtualTimers => {
-	const real = {
+	const realTimers = {
 		setTimeout: globalThis.setTimeout, clearTimeout: globalThis.clearTimeout, setInterval: globalThis.setInterval, clearInterval: globalThis.clearInterval,
 	};
 	const realSleep = promises.setTimeout;
@@ -27,47 +27,47 @@
 	let time = 0;
 	let lastId = 0;
 
-	const add = (run: () => void, ms: number, isRepeated: boolean): number => {
-		const wait = Math.max(1, Math.ceil(ms));
-		timers.set(++lastId, {at: time + wait, run, everyMs: isRepeated ? wait : undefined});
+	const addTimer = (callback: () => void, ms: number, isRepeated: boolean): number => {
+		const delayMs = Math.max(1, Math.ceil(ms));
+		timers.set(++lastId, {dueAt: time + delayMs, callback, intervalMs: isRepeated ? delayMs : undefined});
 		return lastId;
 	};
 
-	const remove = (id: unknown): void => {
+	const removeTimer = (id: unknown): void => {
 		timers.delete(id as number);
 	};
 
 	Object.assign(globalThis, {
-		setTimeout: (run: () => void, ms: number) => add(run, ms, false),
-		setInterval: (run: () => void, ms: number) => add(run, ms, true),
-		clearTimeout: remove,
-		clearInterval: remove,
+		setTimeout: (callback: () => void, ms: number) => addTimer(callback, ms, false),
+		setInterval: (callback: () => void, ms: number) => addTimer(callback, ms, true),
+		clearTimeout: removeTimer,
+		clearInterval: removeTimer,
 	});
 	Object.assign(promises, {
 		setTimeout: async (ms: number) => new Promise<void>(resolve => {
-			add(resolve, ms, false);
+			addTimer(resolve, ms, false);
 		}),
 	});
 	syncBuiltinESMExports();
 
 	return {
 		now: () => time,
-		async passMs() {
+		async advanceOneMs() {
 			time++;
-			for (const [id, {at, run, everyMs}] of [...timers].filter(([, timer]) => timer.at <= time)) {
+			for (const [id, {dueAt, callback, intervalMs}] of [...timers].filter(([, timer]) => timer.dueAt <= time)) {
 				if (timers.delete(id)) {
-					if (everyMs !== undefined) {
-						timers.set(id, {at: at + everyMs, run, everyMs});
+					if (intervalMs !== undefined) {
+						timers.set(id, {dueAt: dueAt + intervalMs, callback, intervalMs});
 					}
 
-					run();
+					callback();
 				}
 			}
 
 			await promises.setImmediate();
 		},
 		stop() {
-			Object.assign(globalThis, real);
+			Object.assign(globalThis, realTimers);
 			Object.assign(promises, {setTimeout: realSleep});
 			syncBuiltinESMExports();
 		},
--- a/packages/entry/src/test/stop-and-rights.test.ts
+++ b/packages/entry/src/test/stop-and-rights.test.ts
@@ -7,7 +7,7 @@
 */
 import test from 'ava';
 import type {RightsStore} from '../adapter/rights-store.js';
-import {createHandClock} from './lib/create-hand-clock.js';
+import {createManualClock} from './lib/create-manual-clock.js';
 import {callHost} from './lib/call-host.js';
 import {createMemoryRightsStore} from './lib/memory-rights-store.js';
 import {headerNames} from './lib/header-names.js';
@@ -25,7 +25,7 @@
 });
 
 const launch = async (store: RightsStore) => {
-	const clock = createHandClock();
+	const clock = createManualClock();
 	const host = await startHost(store, {schedule: clock.schedule, now: clock.now});
 	const endpoint = await startEndpoint('e', (_req, res) => {
 		res.end('fine');
--- a/packages/entry/src/test/stop-cuts-answers.test.ts
+++ b/packages/entry/src/test/stop-cuts-answers.test.ts
@@ -9,7 +9,7 @@
 import {once} from 'node:events';
 import {connect} from 'node:net';
 import test from 'ava';
-import {createHandClock} from './lib/create-hand-clock.js';
+import {createManualClock} from './lib/create-manual-clock.js';
 import {createMemoryRightsStore} from './lib/memory-rights-store.js';
 import {headerNames} from './lib/header-names.js';
 import {openCaller} from './lib/open-caller.js';
@@ -29,7 +29,7 @@
 });
 
 const launch = async (answer: Answer) => {
-	const clock = createHandClock();
+	const clock = createManualClock();
 	const host = await startHost(createMemoryRightsStore(), {schedule: clock.schedule, now: clock.now});
 	const endpoint = await startEndpoint('e', answer);
 	started.push(async () => host.entry.kill(), () => {
--- a/packages/entry/src/test/stopping-host.test.ts
+++ b/packages/entry/src/test/stopping-host.test.ts
@@ -13,7 +13,7 @@
 import process from 'node:process';
 import test from 'ava';
 import type {RightsStore} from '../adapter/rights-store.js';
-import {createHandClock} from './lib/create-hand-clock.js';
+import {createManualClock} from './lib/create-manual-clock.js';
 import {callHost} from './lib/call-host.js';
 import {createMemoryRightsStore} from './lib/memory-rights-store.js';
 import {headerNames} from './lib/header-names.js';
@@ -81,7 +81,7 @@
 
 /** A host with one endpoint for each answer, and a clock that the test moves on. */
 const launch = async (answers: readonly Answer[], {config = makeConfig(), store = createMemoryRightsStore()}: {config?: ReturnType<typeof makeConfig>; store?: RightsStore} = {}) => {
-	const clock = createHandClock();
+	const clock = createManualClock();
 	const host = await startHost(store, {schedule: clock.schedule, now: clock.now});
 	started.push(host.entry);
 	const endpoints = await Promise.all(answers.map(async (answer, index) => startEndpoint(`e${index}`, answer)));
