--- a/packages/entry/src/test/lib/simulate-crash-of-all-hosts.ts
+++ b/packages/entry/src/test/lib/simulate-crash-of-all-hosts.ts
@@ -172,7 +172,7 @@
 		}
 
 		for (let ms = 0; ms < stepDurationMs; ms++) {
-			await timers.passMs();
+			await timers.advanceOneMs();
 		}
 	}
 
--- a/packages/entry/src/test/stop-cuts-answers.test.ts
+++ b/packages/entry/src/test/stop-cuts-answers.test.ts
@@ -10,7 +10,7 @@
 import {once} from 'node:events';
 import {connect} from 'node:net';
 import test from 'ava';
-import {createHandClock} from './lib/create-hand-clock.js';
+import {createManualClock} from './lib/create-manual-clock.js';
 import {createMemoryRightsStore} from './lib/memory-rights-store.js';
 import {headerNames} from './lib/header-names.js';
 import {openCaller} from './lib/open-caller.js';
@@ -31,7 +31,7 @@
 
 /** Starts a host with one endpoint that responds by `answer`, and with a clock that the test advances. */
 const startHostWithEndpoint = async (answer: Answer) => {
-	const clock = createHandClock();
+	const clock = createManualClock();
 	const host = await startHost(createMemoryRightsStore(), {schedule: clock.schedule, now: clock.now});
 	const endpoint = await startEndpoint('e', answer);
 	started.push(async () => host.entry.kill(), () => {
--- a/packages/entry/src/test/stopping-host.test.ts
+++ b/packages/entry/src/test/stopping-host.test.ts
@@ -15,7 +15,7 @@
 import process from 'node:process';
 import test from 'ava';
 import type {RightsStore} from '../adapter/rights-store.js';
-import {createHandClock} from './lib/create-hand-clock.js';
+import {createManualClock} from './lib/create-manual-clock.js';
 import {callHost} from './lib/call-host.js';
 import {createMemoryRightsStore} from './lib/memory-rights-store.js';
 import {headerNames} from './lib/header-names.js';
@@ -84,7 +84,7 @@
 
 /** Starts a host with one endpoint for each of `answers`, and with a clock that the test advances. */
 const startHostWithEndpoints = async (answers: readonly Answer[], {config = makeConfig(), store = createMemoryRightsStore()}: {config?: ReturnType<typeof makeConfig>; store?: RightsStore} = {}) => {
-	const clock = createHandClock();
+	const clock = createManualClock();
 	const host = await startHost(store, {schedule: clock.schedule, now: clock.now});
 	started.push(host.entry);
 	const endpoints = await Promise.all(answers.map(async (answer, index) => startEndpoint(`e${index}`, answer)));
